--- /dev/null
+++ b/tests/gateway/test_encoded_forms.py
@@ -0,0 +1,100 @@
+import json
+import types
+import typing as t
+import unittest
+
+import msgspec
+import orjson
+
+from fuchsiahatch_adapter.configuration import Engine
+from fuchsiahatch_core.identities import Home
+from fuchsiahatch_delivery.tickets import (
+    Ticket,
+    TicketHome,
+    decode_ticket,
+    encode_ticket,
+)
+from fuchsiahatch_experts.terms import TermRecord
+from fuchsiahatch_gateway import datagrams, leadership
+from fuchsiahatch_gateway.engine_figures import EngineFigures, decode_engine_figures
+from fuchsiahatch_gateway.held_requests import HeldRecord, decode_held_record
+from fuchsiahatch_gateway.lookups import EntryRecord, decode_entry
+from fuchsiahatch_placement.documents import Change, Document, write_document
+from fuchsiahatch_placement.rosters import Voter, change_roster
+from tests.golden import check_golden
+
+#: Values for fields of each type; the address is one that `check_peer` takes.
+SAMPLES = {int: 3, float: 1.5, str: "10.0.0.7:8080", bool: True, bytes: b"\x05\x06"}
+PEER = ("10.0.0.7", 17_341)
+
+
+def sample(kind):
+    """Return a value of a type; one that lets fields be left out fills them all."""
+    origin, inner = t.get_origin(kind), t.get_args(kind)
+    if origin is t.Annotated:
+        return sample(inner[0])
+    if kind == datagrams.Peer:
+        return PEER
+    if origin in (t.Union, types.UnionType):
+        return sample(inner[0])
+    if origin is tuple:
+        return tuple(sample(one) for one in inner if one is not Ellipsis)
+    if origin is dict:
+        return {sample(inner[0]): sample(inner[1])}
+    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
+        return make(kind)
+    return SAMPLES[kind] if kind in SAMPLES else next(iter(kind))
+
+
+def make(form):
+    """Return a struct whose fields all have values, in their order."""
+    kinds = t.get_type_hints(form, include_extras=True)
+    return form(*(sample(kinds[name]) for name in form.__struct_fields__))
+
+
+def messages():
+    forms = t.get_args(datagrams.Message)
+    return [
+        make(form) for form in sorted(forms, key=lambda one: one.__struct_config__.tag)
+    ]
+
+
+class TestEncodedForms(unittest.TestCase):
+    """Processes of two builds serve together while one replaces the other.
+
+    What one sends or stores must be read by the other: the bytes of each datagram and
+    of each stored value are kept in a golden file.
+    """
+
+    def test_datagrams(self):
+        found = messages()
+        for message in found:
+            self.assertEqual(datagrams.decode(datagrams.encode(message)), message)
+        lines = [datagrams.encode(message).hex() for message in found]
+        check_golden(__file__, "datagrams", lines)
+
+    def test_stored_values(self):
+        held = HeldRecord(True, ("i-1@5", "i-2@6"))
+        entry = EntryRecord("front-1", "kl-a", "10.0.0.7:8227", PEER)
+        engine = Engine(*(sample(kind) for kind in t.get_type_hints(Engine).values()))
+        figures = EngineFigures(4, engine, 150)
+        leader = orjson.dumps(leadership._LeaderDocument("side-1", PEER, 2))
+        self.assertEqual(decode_held_record("x", orjson.dumps(held)), held)
+        self.assertEqual(decode_entry("front-1", entry.encode()), entry)
+        self.assertEqual(decode_engine_figures("svc", figures.encode()), figures)
+        self.assertEqual(leadership.decode_leader("g-1", leader), (PEER, 2))
+        values = [orjson.dumps(held), entry.encode(), figures.encode(), leader]
+        check_golden(__file__, "stored_values", [one.decode() for one in values])
+
+    def test_records_and_tickets(self):
+        change = Change(2, "change-2", 1_000, "operator", "a voter joined")
+        voters = Document(1, (), ())
+        voter = Voter("klang-valley", "kl-a", "entry-1")
+        roster = change_roster(voters, 1, change, "entry-1", voter)
+        term = TermRecord(4, 3, 1, "life")
+        ticket = Ticket("team", "model@1", (TicketHome(Home("host-1", "life"), 7),))
+        text = encode_ticket(ticket)
+        self.assertEqual(decode_ticket(text), ticket)
+        names = {name: getattr(term, name) for name in TermRecord.__slots__}
+        lines = [write_document(roster).decode(), json.dumps(names), text]
+        check_golden(__file__, "records_and_tickets", lines)
