--- a/packages/bench/src/fuchsiahatch_bench/overload.py
+++ b/packages/bench/src/fuchsiahatch_bench/overload.py
@@ -19,7 +19,7 @@
 from fuchsiahatch_core.clock import Clock
 from fuchsiahatch_core.exceptions import RefusedError
 from fuchsiahatch_gateway.datagrams import LoadReport
-from fuchsiahatch_gateway.defaults import REPORT_MS
+from fuchsiahatch_gateway.defaults import REPORT_INTERVAL_MS
 from fuchsiahatch_gateway.fleet import Fleet
 from fuchsiahatch_gateway.jobs import STREAM_PATIENCE_MS, WAIT_SHARE
 from fuchsiahatch_gateway.placing import Placer
@@ -175,7 +175,7 @@
                     fleet.observe(report)
             for placer in self._placers:
                 placer.serve_waiting()
-            await asyncio.sleep(REPORT_MS / 1000)
+            await asyncio.sleep(REPORT_INTERVAL_MS / 1000)
 
 
 def _address(number: int) -> str:
--- a/packages/gateway/src/fuchsiahatch_gateway/agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/agent.py
@@ -15,7 +15,7 @@
 from fuchsiahatch_experts.rank_orders import OrderResult
 from fuchsiahatch_gateway.datagrams import (
     DatagramPort,
-    EntryBeat,
+    EntryHeartbeat,
     Message,
     OrderRelay,
     OrderReply,
@@ -30,7 +30,7 @@
     ENGINES_PREFIX,
     KEY_PREFIX,
     LEADERS_PREFIX,
-    REPORT_MS,
+    REPORT_INTERVAL_MS,
     SETTLED_ERA_KEY,
     STORE_RETRY_MS,
 )
@@ -136,7 +136,7 @@
             began_ms = self._clock.now_ms()
             await self._report()
             took_ms = self._clock.now_ms() - began_ms
-            await asyncio.sleep(max(REPORT_MS - took_ms, 5) / 1000)
+            await asyncio.sleep(max(REPORT_INTERVAL_MS - took_ms, 5) / 1000)
 
     async def _ask_store_for_ever(self) -> None:
         """Ask the store for little from time to time, so that its return is noticed."""
@@ -191,7 +191,7 @@
     async def _lead_for_ever(self) -> None:
         while not self._process.stopping.is_set():
             await asyncio.sleep(0.02)
-            self.leadership.settled_era.look()
+            self.leadership.settled_era.check()
             seen = self.rank.seen
             if seen is None or not seen.group or seen.ranks < 2:
                 continue
@@ -206,7 +206,7 @@
                 await self._stop_leading()
             else:
                 self.leader.work()
-                if self.leadership.settled_era.lacking:
+                if self.leadership.settled_era.needs_write:
                     self._process.keep_running(self.leadership.settled_era.write())
 
     def _make_takeover(
@@ -352,7 +352,7 @@
         self._tell_figures()
 
     def _apply_era(self) -> None:
-        self.leadership.settled_era.take(self._era_copy.items.get(""))
+        self.leadership.settled_era.receive(self._era_copy.items.get(""))
 
     def _connect_engine(self, address: str) -> ModelEngine:
         return ModelEngine(parse_address(address), self._engines_pool)
@@ -381,8 +381,8 @@
         if isinstance(message, RankState):
             for own in self._led():
                 own.take_state(message, peer)
-        elif isinstance(message, EntryBeat):
-            self._entries.take(message, peer)
+        elif isinstance(message, EntryHeartbeat):
+            self._entries.receive(message, peer)
             self._reporter.answer(peer)
         elif isinstance(message, StandbyNotice):
             self.takeovers.note(message)
--- a/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from fuchsiahatch_core.events import Event, log_event
-from fuchsiahatch_gateway.datagrams import MOST_CRASHES_TOLD, Clearance, CrashNotice
+from fuchsiahatch_gateway.datagrams import MAX_CRASHES_REPORTED, Clearance, CrashNotice
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_core.clock import Clock
@@ -108,7 +108,7 @@
         """
         if self.is_whole(notice.fingerprint):
             return Clearance(notice.fingerprint)
-        self._count(notice.fingerprint, notice.lives, "another entry")
+        self._count(notice.fingerprint, notice.incarnations, "another entry")
         return None
 
     def note_whole(self, fingerprint: str) -> None:
@@ -196,7 +196,7 @@
         if not fresh:
             return None
         suspect.lives.update(dict.fromkeys(fresh))
-        _drop_first(suspect.lives, MOST_CRASHES_TOLD)
+        _drop_first(suspect.lives, MAX_CRASHES_REPORTED)
         suspect.crashed_ms = now_ms
         # Those that crashed last are at the end, and are forgotten last.
         self._suspects.pop(fingerprint, None)
--- a/packages/gateway/src/fuchsiahatch_gateway/datagrams.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/datagrams.py
@@ -27,10 +27,10 @@
 
 
 #: Crashes that are told of one request at most, the last ones.
-MOST_CRASHES_TOLD = 8
+MAX_CRASHES_REPORTED = 8
 _Fingerprint = t.Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 _Life = t.Annotated[str, msgspec.Meta(max_length=128)]
-_Lives = t.Annotated[tuple[_Life, ...], msgspec.Meta(max_length=MOST_CRASHES_TOLD)]
+_Lives = t.Annotated[tuple[_Life, ...], msgspec.Meta(max_length=MAX_CRASHES_REPORTED)]
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag=0):
@@ -164,7 +164,7 @@
     term: int
 
 
-class EntryBeat(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class EntryHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Heartbeat of an entry to another one.
 
     Attributes
@@ -275,7 +275,7 @@
     """
 
     fingerprint: _Fingerprint
-    lives: _Lives
+    incarnations: _Lives
 
 
 class Clearance(msgspec.Struct, frozen=True, array_like=True, tag=12):
@@ -306,7 +306,7 @@
     | OrderReply
     | StandbyNotice
     | TakeoverNotice
-    | EntryBeat
+    | EntryHeartbeat
     | OrderRelay
     | PermitRequest
     | PermitReply
--- a/packages/gateway/src/fuchsiahatch_gateway/defaults.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/defaults.py
@@ -3,27 +3,27 @@
 #: Lease of an entry's registration. One that dies is named by no lookup after this.
 REGISTRATION_TTL_MS = 3_000
 #: How often leases are renewed: twice may fail before one ends.
-RENEWAL_MS = 900
+LEASE_RENEWAL_INTERVAL_MS = 900
 #: Pause before a failed call to the store is made again, by the one part of a process
 #: that asks whether it is back.
 STORE_RETRY_MS = 350
 #: Time for which the other parts wait for its answer before they ask as well. With all
 #: of them asking each 250 ms, an outage of 8 s cost 2,000 calls, 0.02 of a day's worth.
-STORE_PATIENCE_MS = 2_500
+STORE_RECOVERY_TIMEOUT_MS = 2_500
 #: Pause before all is read anew because the store has forgotten its history.
 HISTORY_RETRY_MS = 100
 #: Time after the store's return in which entries that lapsed meanwhile are back, if
 #: their owners live; the platform says about two seconds.
-LAPSE_MS = 2_300
+LAPSE_GRACE_MS = 2_300
 #: Lease of a rank group's leader. Shorter than a stream's caller waits for an event,
 #: so that a group that a dead leader holds goes on before its callers leave.
 LEADER_TTL_MS = 1_500
 #: How often a leader renews its lease.
-LEADER_RENEWAL_MS = 450
+LEADER_RENEWAL_INTERVAL_MS = 450
 #: How often an agent reads its upstream's report and counts.
-REPORT_MS = 100
+REPORT_INTERVAL_MS = 100
 #: Age beyond which an upstream's load report counts for nothing.
-LOAD_LIMIT_MS = 1_000
+MAX_LOAD_AGE_MS = 1_000
 #: Prefix of the keys in the store that each agent follows.
 KEY_PREFIX = "fuchsiahatch/"
 #: Registrations of entries, by node. Outside `KEY_PREFIX`: each start and end of one
--- a/packages/gateway/src/fuchsiahatch_gateway/entry.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry.py
@@ -19,7 +19,7 @@
     Clearance,
     CrashNotice,
     DatagramPort,
-    EntryBeat,
+    EntryHeartbeat,
     LateNotice,
     LoadReport,
     Message,
@@ -39,8 +39,8 @@
 from fuchsiahatch_gateway.delivery import Delivery
 from fuchsiahatch_gateway.engine_figures import FiguresWriter
 from fuchsiahatch_gateway.entry_announcer import EntryAnnouncer
-from fuchsiahatch_gateway.entry_beats import BEAT_MS, EntryBeats
 from fuchsiahatch_gateway.entry_gauges import add_gauges
+from fuchsiahatch_gateway.entry_liveness import BEAT_MS, EntryLiveness
 from fuchsiahatch_gateway.fleet import FIRST_REPORT_MS, Fleet
 from fuchsiahatch_gateway.following import Follower
 from fuchsiahatch_gateway.held_requests import HeldRequests
@@ -107,7 +107,7 @@
         self._process = process
         self._early = listening
         self._began_ms = clock.now_ms()
-        self._beats = EntryBeats(settings.node)
+        self._liveness = EntryLiveness(settings.node)
         self.datagrams = DatagramPort(self._take_message)
         self._clock = clock
         self._rng = random.Random()
@@ -189,7 +189,7 @@
         self.store.on_restored = self._note_restored
         self._takers: dict[type, t.Callable[[t.Any, Peer], None]] = {
             LoadReport: self._take_load,
-            EntryBeat: self._take_beat,
+            EntryHeartbeat: self._take_beat,
             PermitRequest: self.permits.take_request,
             PermitReply: lambda reply, peer: self.permits.take_reply(reply),
             RateNotice: self._take_rate,
@@ -225,7 +225,7 @@
             if address is not None:
                 await self.side_calls.listen(address.ip, address.port)
         # Callers come once there is something to send them on by.
-        await self._wait_informed()
+        await self._wait_until_synced()
         await self._accept_callers()
         process.keep_running(self._beat_for_ever())
         # Whoever waits for the first load reports waits no longer than that.
@@ -240,12 +240,12 @@
         return self._listening and not self._leaving
 
     @property
-    def informed(self) -> bool:
+    def synced(self) -> bool:
         """Whether the configuration, the upstreams and what is held are known."""
         return self.routes.configuration is not None and self.follower.synced
 
-    async def _wait_informed(self) -> None:
-        while not self.informed and not self._process.stopping.is_set():
+    async def _wait_until_synced(self) -> None:
+        while not self.synced and not self._process.stopping.is_set():
             if self._clock.now_ms() - self._began_ms > EARLY_LIMIT_MS:
                 self._close_early()
             await asyncio.sleep(INFORMED_POLL_MS / 1000)
@@ -276,13 +276,13 @@
         """Tell other entries of this one while the store can't."""
         while True:
             await asyncio.sleep(BEAT_MS / 1000)
-            self._beats.note_store(self.health.answers, self._clock.now_ms())
+            self._liveness.note_store(self.health.answers, self._clock.now_ms())
             if not self.health.answers and self.ready:
                 self._send_beats(serving=True)
 
     def _send_beats(self, serving: bool) -> None:
-        beat = EntryBeat(self._process.settings.node, serving)
-        for peer in self._beats.peers(self._entries):
+        beat = EntryHeartbeat(self._process.settings.node, serving)
+        for peer in self._liveness.peers(self._entries):
             self.datagrams.send(beat, peer)
 
     async def _leave(self) -> None:
@@ -310,7 +310,7 @@
         if zone is None:
             exchange.respond(404)
             return
-        others = self._beats.present(self._entries, self._clock.now_ms())
+        others = self._liveness.present(self._entries, self._clock.now_ms())
         own = self.record if self.ready else None
         addresses = choose_addresses(others, own, zone)
         if not addresses:
@@ -366,10 +366,10 @@
         self.fleet.observe(load)
         self.placer.serve_waiting()
 
-    def _take_beat(self, beat: EntryBeat, peer: Peer) -> None:
-        answers = self._beats.take(beat, self._clock.now_ms())
+    def _take_beat(self, beat: EntryHeartbeat, peer: Peer) -> None:
+        answers = self._liveness.receive(beat, self._clock.now_ms())
         if answers and self.ready:
-            own = EntryBeat(self._process.settings.node, True)
+            own = EntryHeartbeat(self._process.settings.node, True)
             self.datagrams.send(own, peer)
 
     def _take_rate(self, notice: RateNotice, peer: Peer) -> None:
@@ -391,7 +391,7 @@
 
     def _present_entries(self) -> dict[str, EntryRecord]:
         """Return the registered entries, less those that have left or are silent."""
-        others = self._beats.present(self._entries, self._clock.now_ms())
+        others = self._liveness.present(self._entries, self._clock.now_ms())
         present = {one.node: one for one in others}
         own = self._process.settings.node
         return present | {own: self.record} if own in self._entries else present
@@ -402,7 +402,7 @@
     def _tell_others(
         self, notice: RateNotice | CrashNotice | Clearance | LateNotice
     ) -> None:
-        for peer in self._beats.peers(self._entries):
+        for peer in self._liveness.peers(self._entries):
             self.datagrams.send(notice, peer)
 
     def _drop_connections(self, entry: "UpstreamEntry") -> None:
--- a/packages/gateway/src/fuchsiahatch_gateway/entry_announcer.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_announcer.py
@@ -2,7 +2,7 @@
 
 import typing as t
 
-from fuchsiahatch_gateway.datagrams import DatagramPort, EntryBeat
+from fuchsiahatch_gateway.datagrams import DatagramPort, EntryHeartbeat
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_core.clock import Clock
@@ -49,7 +49,7 @@
         agent_port: int,
         clock: "Clock",
     ) -> None:
-        self._beat = EntryBeat(node, True)
+        self._beat = EntryHeartbeat(node, True)
         self._fleet = fleet
         self._datagrams = datagrams
         self._agent_port = agent_port
--- a/packages/gateway/src/fuchsiahatch_gateway/entry_beats.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_liveness.py
@@ -7,7 +7,7 @@
 
 import typing as t
 
-from fuchsiahatch_gateway.datagrams import EntryBeat, Peer
+from fuchsiahatch_gateway.datagrams import EntryHeartbeat, Peer
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_gateway.lookups import EntryRecord
@@ -21,7 +21,7 @@
 LEFT_MS = 3_000
 
 
-class EntryBeats:
+class EntryLiveness:
     """What this entry heard from others.
 
     Parameters
@@ -46,7 +46,7 @@
         elif self._away_ms is None:
             self._away_ms = now_ms
 
-    def take(self, beat: EntryBeat, now_ms: int) -> bool:
+    def receive(self, beat: EntryHeartbeat, now_ms: int) -> bool:
         """Take in a heartbeat; return whether it is to be answered.
 
         An entry that the store turns away hears from those that it serves only if
--- a/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
@@ -12,7 +12,7 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.store import StoreClient
     from fuchsiahatch_core.clock import Clock
-    from fuchsiahatch_gateway.datagrams import EntryBeat, Peer
+    from fuchsiahatch_gateway.datagrams import EntryHeartbeat, Peer
 
 #: Pause between two reads of the entries' registrations. Entries that start announce
 #: themselves: a read drops those that are gone.
@@ -48,7 +48,7 @@
         """Where the entries take datagrams."""
         return {*self._registered.values(), *(peer for peer, _ in self._heard.values())}
 
-    def take(self, beat: "EntryBeat", peer: "Peer") -> None:
+    def receive(self, beat: "EntryHeartbeat", peer: "Peer") -> None:
         """Take in an entry's announcement, or that it leaves."""
         if beat.serving:
             self._heard[beat.node] = peer, self._clock.now_ms()
--- a/packages/gateway/src/fuchsiahatch_gateway/following.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/following.py
@@ -15,7 +15,7 @@
 from fuchsiahatch_core.exceptions import PlatformError
 from fuchsiahatch_gateway.defaults import (
     HISTORY_RETRY_MS,
-    STORE_PATIENCE_MS,
+    STORE_RECOVERY_TIMEOUT_MS,
     STORE_RETRY_MS,
 )
 
@@ -130,7 +130,7 @@
         if self._health.answers:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(STORE_PATIENCE_MS / 1000):
+            async with asyncio.timeout(STORE_RECOVERY_TIMEOUT_MS / 1000):
                 await self._health.regained.wait()
 
     async def _read(self) -> bool:
--- a/packages/gateway/src/fuchsiahatch_gateway/item_copies.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/item_copies.py
@@ -32,12 +32,13 @@
 
     Notes
     -----
-    Guards against a store that forgets its leases: while it is away, the owners of
-    items can't renew them, and on its return all of them are gone for a moment.
-    Whoever believed that would refuse every request. A deletion that comes within
-    `LAPSE_MS` of a failure is held back until that time is over, and dropped when the
-    item has come back. A process whose only call is a watch that waits sees no failure
-    at all in a short outage; there, that half of all items go at once is the sign.
+    Guards against a store that forgets its leases: while it is down, the owners of
+    items can't renew them, and when it returns all of them are deleted for a moment.
+    A process that acted on that would refuse every request. A deletion that comes
+    within `LAPSE_GRACE_MS` of a failure is deferred until that time is over, and
+    dropped when the item has come back. A process whose only call is a pending watch
+    sees no failure at all in a short outage; there, the deletion of half of all items
+    at once is the sign.
     """
 
     __slots__ = ("_clock", "_health", "_lapsed", "_on_change", "_prefix", "items")
--- a/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
@@ -3,7 +3,7 @@
 import dataclasses
 import typing as t
 
-from fuchsiahatch_gateway.defaults import LOAD_LIMIT_MS, REPORT_MS
+from fuchsiahatch_gateway.defaults import MAX_LOAD_AGE_MS, REPORT_INTERVAL_MS
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.configuration import Engine
@@ -71,7 +71,7 @@
     own: int = 0
     others: int = 0
     reported_ms: int | None = None
-    report_pause_ms: float = float(REPORT_MS)
+    report_pause_ms: float = float(REPORT_INTERVAL_MS)
     pace: float = 1.0
     open: bool = True
     group: str = ""
@@ -100,7 +100,7 @@
 
     def load(self, now_ms: int) -> int:
         """Return the requests that are believed to be there."""
-        if self.reported_ms is None or now_ms - self.reported_ms > LOAD_LIMIT_MS:
+        if self.reported_ms is None or now_ms - self.reported_ms > MAX_LOAD_AGE_MS:
             return self.own
         return self.own + self.others
 
--- a/packages/gateway/src/fuchsiahatch_gateway/leadership.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/leadership.py
@@ -16,7 +16,7 @@
 from fuchsiahatch_core.exceptions import ConflictError, FormError, PlatformError
 from fuchsiahatch_gateway.datagrams import Peer, check_peer
 from fuchsiahatch_gateway.defaults import (
-    LEADER_RENEWAL_MS,
+    LEADER_RENEWAL_INTERVAL_MS,
     LEADER_TTL_MS,
     LEADERS_PREFIX,
 )
@@ -173,7 +173,7 @@
 
     def note_restored(self) -> None:
         """Lead no more: the store came back from an older copy, without the lease."""
-        self.settled_era.look()
+        self.settled_era.check()
         self.resign()
 
     async def try_win(self, group: str, rank: int, known: LeaderRecord | None) -> bool:
@@ -202,7 +202,7 @@
         """Renew the lease until the store says that it has ended, or `resign`."""
         lease = self._lease
         while lease == self._lease:
-            await asyncio.sleep(LEADER_RENEWAL_MS / 1000)
+            await asyncio.sleep(LEADER_RENEWAL_INTERVAL_MS / 1000)
             began_ms = self._clock.now_ms()
             self.unanswered = True
             try:
--- a/packages/gateway/src/fuchsiahatch_gateway/registration.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/registration.py
@@ -13,15 +13,16 @@
 from fuchsiahatch_core.events import Event, log_event
 from fuchsiahatch_core.exceptions import PlatformError
 from fuchsiahatch_gateway.defaults import (
+    LEASE_RENEWAL_INTERVAL_MS,
     REGISTRATION_TTL_MS,
-    RENEWAL_MS,
     STORE_RETRY_MS,
 )
 
 #: Pause before a registration whose lease has ended is made anew.
 LEASE_RETRY_MS = 100
 #: Time over which those spread that the store has forgotten all at once, so that a
-#: fleet of hundreds doesn't write in one moment. Others wait for them for `LAPSE_MS`.
+#: fleet of hundreds doesn't write in one moment. Others wait for them for
+#: `LAPSE_GRACE_MS`.
 RESTORED_SPREAD_MS = 800
 
 if t.TYPE_CHECKING:
@@ -92,7 +93,7 @@
     async def _rest(self) -> None:
         """Wait until the next renewal, or until the store is back."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(RENEWAL_MS / 1000):
+            async with asyncio.timeout(LEASE_RENEWAL_INTERVAL_MS / 1000):
                 await self._health.regained.wait()
 
     async def withdraw(self) -> None:
--- a/packages/gateway/src/fuchsiahatch_gateway/reporting.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/reporting.py
@@ -12,7 +12,7 @@
     RankState,
     encode,
 )
-from fuchsiahatch_gateway.defaults import REPORT_MS
+from fuchsiahatch_gateway.defaults import REPORT_INTERVAL_MS
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.upstreams import EngineReport
@@ -114,7 +114,7 @@
             self._choices_ms = now_ms
             self._began = False
             return ChoicesTurn.TELL
-        counts_all = pause_ms < FRESH_MS + REPORT_MS
+        counts_all = pause_ms < FRESH_MS + REPORT_INTERVAL_MS
         if self._began or counts_all or since_ms < pause_ms - FRESH_MS:
             return ChoicesTurn.REST
         self._began = True
--- a/packages/gateway/src/fuchsiahatch_gateway/settled_era.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/settled_era.py
@@ -8,7 +8,7 @@
 from fuchsiahatch_gateway.defaults import (
     LEADER_TTL_MS,
     SETTLED_ERA_KEY,
-    STORE_PATIENCE_MS,
+    STORE_RECOVERY_TIMEOUT_MS,
 )
 
 if t.TYPE_CHECKING:
@@ -41,7 +41,7 @@
         self._next_ms = 0
         self._told = 0
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Note when the present era was first seen: now, if it is another one."""
         if self._store.era != self._era:
             self._era = self._store.era
@@ -50,7 +50,7 @@
     @property
     def seen(self) -> bool:
         """Whether this process itself has seen the era last so long."""
-        self.look()
+        self.check()
         return self._clock.now_ms() - self._seen_ms >= LEADER_TTL_MS
 
     @property
@@ -63,14 +63,14 @@
         return not era or era == self._told or self.seen
 
     @property
-    def lacking(self) -> bool:
+    def needs_write(self) -> bool:
         """Whether the store should say so and doesn't, and it is time to write."""
         era = self._store.era
         if not era or era == self._told or not self.seen:
             return False
         return self._clock.now_ms() >= self._next_ms
 
-    def take(self, item: "Item | None") -> None:
+    def receive(self, item: "Item | None") -> None:
         """Take in what the store's item says, as it was read in an era."""
         if item is None or item.value is None:
             return
@@ -85,7 +85,7 @@
     async def write(self) -> None:
         """Tell processes that start later."""
         era = self._store.era
-        self._next_ms = self._clock.now_ms() + STORE_PATIENCE_MS
+        self._next_ms = self._clock.now_ms() + STORE_RECOVERY_TIMEOUT_MS
         try:
             await self._store.put(SETTLED_ERA_KEY, b"%d" % era)
         except PlatformError as fault:
--- a/packages/gateway/src/fuchsiahatch_gateway/store_health.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/store_health.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from fuchsiahatch_core.events import Event, log_event
-from fuchsiahatch_gateway.defaults import LAPSE_MS
+from fuchsiahatch_gateway.defaults import LAPSE_GRACE_MS
 
 
 @dataclasses.dataclass(slots=True)
@@ -64,11 +64,11 @@
     def settles_in_ms(self, now_ms: int) -> int:
         """Return when to look again whether what is gone is gone, at the least."""
         if not self.answers or self.regained_ms is None:
-            return LAPSE_MS // 4
-        return max(self.regained_ms + LAPSE_MS - now_ms, 0)
+            return LAPSE_GRACE_MS // 4
+        return max(self.regained_ms + LAPSE_GRACE_MS - now_ms, 0)
 
     def settled(self, now_ms: int) -> bool:
         """Whether the store has answered for so long that what is gone is gone."""
         if self.regained_ms is None:
             return self.failed_ms is None
-        return self.answers and now_ms - self.regained_ms >= LAPSE_MS
+        return self.answers and now_ms - self.regained_ms >= LAPSE_GRACE_MS
--- a/tests/gateway/sites.py
+++ b/tests/gateway/sites.py
@@ -85,7 +85,7 @@
         process = Process(make_settings(store_port), LineWriter(null, lambda: 0))
         self.entry = Entry(process)
         self._following = asyncio.ensure_future(self.entry.follower.run())
-        await until(lambda: self.entry.informed)
+        await until(lambda: self.entry.synced)
         self.port = await self.entry.callers.listen("127.0.0.1", 0)
         return self
 
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -11,7 +11,7 @@
     CrashingRequests,
 )
 from fuchsiahatch_gateway.datagrams import (
-    MOST_CRASHES_TOLD,
+    MAX_CRASHES_REPORTED,
     Clearance,
     CrashNotice,
     decode,
@@ -143,8 +143,8 @@
         for number in range(MOST_SUSPECTS + 10):
             self.crash("a@1", fingerprint=f"f{number}")
         self.assertEqual(self.requests.suspects, MOST_SUSPECTS)
-        self.crash(*(f"{number}@1" for number in range(3 * MOST_CRASHES_TOLD)))
-        self.assertEqual(self.requests.crashes("f"), MOST_CRASHES_TOLD)
+        self.crash(*(f"{number}@1" for number in range(3 * MAX_CRASHES_REPORTED)))
+        self.assertEqual(self.requests.crashes("f"), MAX_CRASHES_REPORTED)
         decode(encode(self.told[-1]))
 
     def test_what_the_store_holds_is_held_as_long_as_it_says_so(self):
--- a/tests/gateway/test_early_callers.py
+++ b/tests/gateway/test_early_callers.py
@@ -35,8 +35,8 @@
             entry = start_entry(early)
             due_ms = entry._clock.now_ms() + informed_ms
             informed = property(lambda self: self._clock.now_ms() >= due_ms)
-            with mock.patch.object(Entry, "informed", informed):
-                waiting = asyncio.ensure_future(entry._wait_informed())
+            with mock.patch.object(Entry, "synced", informed):
+                waiting = asyncio.ensure_future(entry._wait_until_synced())
                 while not waiting.done():
                     await asyncio.sleep(0.001)
                     entry._clock.advance(10)
--- a/tests/gateway/test_entry_beats.py
+++ b/tests/gateway/test_entry_liveness.py
@@ -1,8 +1,8 @@
 import unittest
 
-from fuchsiahatch_gateway import entry_beats
-from fuchsiahatch_gateway.datagrams import EntryBeat
-from fuchsiahatch_gateway.entry_beats import EntryBeats
+from fuchsiahatch_gateway import entry_liveness
+from fuchsiahatch_gateway.datagrams import EntryHeartbeat
+from fuchsiahatch_gateway.entry_liveness import EntryLiveness
 from fuchsiahatch_gateway.lookups import EntryRecord
 
 ENTRIES = {
@@ -13,7 +13,7 @@
 
 class TestEntryBeats(unittest.TestCase):
     def setUp(self):
-        self.beats = EntryBeats("own")
+        self.beats = EntryLiveness("own")
 
     def present(self, now_ms):
         return [one.node for one in self.beats.present(ENTRIES, now_ms)]
@@ -28,7 +28,7 @@
         # in an outage of the store, and lookups went on to name them.
         self.beats.note_store(False, 1_000)
         self.assertEqual(self.present(1_500), ["e-1", "e-2"])
-        self.beats.take(EntryBeat("e-2", True), 2_000)
+        self.beats.receive(EntryHeartbeat("e-2", True), 2_000)
         self.assertEqual(self.present(2_100), ["e-2"])
         self.beats.note_store(True, 2_200)
         self.assertEqual(self.present(2_300), ["e-1", "e-2"])
@@ -40,18 +40,18 @@
     def test_one_that_leaves_is_left_out_at_once(self):
         # A caller comes to an entry that stops: the store learnt of it first, and
         # lookups named it until the watch had told the others.
-        self.beats.take(EntryBeat("e-1", False), 100)
+        self.beats.receive(EntryHeartbeat("e-1", False), 100)
         self.assertEqual(self.present(101), ["e-2"])
-        self.beats.take(EntryBeat("e-1", True), 200)
+        self.beats.receive(EntryHeartbeat("e-1", True), 200)
         self.assertEqual(self.present(201), ["e-1", "e-2"])
-        self.beats.take(EntryBeat("e-1", False), 300)
-        self.assertEqual(self.present(300 + entry_beats.LEFT_MS), ["e-1", "e-2"])
+        self.beats.receive(EntryHeartbeat("e-1", False), 300)
+        self.assertEqual(self.present(300 + entry_liveness.LEFT_MS), ["e-1", "e-2"])
 
     def test_a_heartbeat_is_answered_once_in_its_pause(self):
         # An entry that the store turns away hears nobody, and takes all others for
         # gone: the store serves them, and they have no reason to speak.
-        beat = EntryBeat("e-1", True)
-        self.assertTrue(self.beats.take(beat, 0))
-        self.assertFalse(self.beats.take(beat, 10))
-        self.assertTrue(self.beats.take(beat, entry_beats.BEAT_MS))
-        self.assertFalse(self.beats.take(EntryBeat("e-2", False), 20))
+        beat = EntryHeartbeat("e-1", True)
+        self.assertTrue(self.beats.receive(beat, 0))
+        self.assertFalse(self.beats.receive(beat, 10))
+        self.assertTrue(self.beats.receive(beat, entry_liveness.BEAT_MS))
+        self.assertFalse(self.beats.receive(EntryHeartbeat("e-2", False), 20))
--- a/tests/gateway/test_entry_peers.py
+++ b/tests/gateway/test_entry_peers.py
@@ -3,7 +3,7 @@
 import unittest
 
 from fuchsiahatch_core.clock import Clock, ManualClock
-from fuchsiahatch_gateway.datagrams import EntryBeat
+from fuchsiahatch_gateway.datagrams import EntryHeartbeat
 from fuchsiahatch_gateway.defaults import ENTRIES_PREFIX
 from fuchsiahatch_gateway.entry_announcer import (
     ANNOUNCE_MS,
@@ -39,8 +39,8 @@
                 before = len(served.store.calls)
                 for number in range(2, 20):
                     register(served.store, f"e-{number}", number)
-                    beat = EntryBeat(f"e-{number}", True)
-                    peers.take(beat, ("10.0.0.1", number))
+                    beat = EntryHeartbeat(f"e-{number}", True)
+                    peers.receive(beat, ("10.0.0.1", number))
                 await asyncio.sleep(0.1)
                 task.cancel()
                 return len(peers.peers), len(served.store.calls) - before
@@ -49,8 +49,8 @@
 
     def test_an_entry_that_leaves_is_told_no_load(self):
         peers = EntryPeers(None, ManualClock())
-        peers.take(EntryBeat("e-1", True), ("10.0.0.1", 1))
-        peers.take(EntryBeat("e-1", False), ("10.0.0.1", 1))
+        peers.receive(EntryHeartbeat("e-1", True), ("10.0.0.1", 1))
+        peers.receive(EntryHeartbeat("e-1", False), ("10.0.0.1", 1))
         self.assertEqual(peers.peers, set())
 
     def test_an_entry_that_is_gone_is_dropped_with_a_later_read(self):
@@ -59,7 +59,7 @@
                 clock = ManualClock()
                 peers = EntryPeers(served.client, clock)
                 register(served.store, "e-1", 1)
-                peers.take(EntryBeat("e-2", True), ("10.0.0.1", 2))
+                peers.receive(EntryHeartbeat("e-2", True), ("10.0.0.1", 2))
                 await peers._read()
                 both = peers.peers
                 served.store.remove(ENTRIES_PREFIX + "e-1")
@@ -95,7 +95,9 @@
 
     def test_a_lost_word_is_said_again(self):
         self.assertEqual(self.announce_for(NEW_MS), NEW_MS // ANNOUNCE_MS)
-        self.assertEqual(self.sent[0], (EntryBeat("e-1", True), ("10.0.0.9", 7341)))
+        self.assertEqual(
+            self.sent[0], (EntryHeartbeat("e-1", True), ("10.0.0.9", 7341))
+        )
 
     def test_an_agent_that_reports_is_left_alone_until_it_is_silent(self):
         self.upstream.note_report(self.clock.now_ms())
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -15,7 +15,7 @@
 from tests.gateway.sites import Site, until
 from tests.loopback import run
 
-LAPSE_MS = 300
+LAPSE_GRACE_MS = 300
 #: Long enough for parts of it to be told apart beside other tests.
 LONG_LAPSE_MS = 1_000
 
@@ -174,7 +174,7 @@
                 one.store.put("servers/back", {})
                 await until(lambda: one.names == ["back"])
 
-        with mock.patch.object(store_health, "LAPSE_MS", LAPSE_MS):
+        with mock.patch.object(store_health, "LAPSE_GRACE_MS", LAPSE_GRACE_MS):
             run(follow())
 
     def test_what_goes_long_behind_a_return_is_waited_for_no_longer_than_the_rest(self):
@@ -192,7 +192,7 @@
                 await asyncio.sleep(0.4 * LONG_LAPSE_MS / 1000)
                 self.assertEqual(one.names, [])
 
-        with mock.patch.object(store_health, "LAPSE_MS", LONG_LAPSE_MS):
+        with mock.patch.object(store_health, "LAPSE_GRACE_MS", LONG_LAPSE_MS):
             run(follow())
 
     def test_a_lapse_is_noticed_without_a_failed_call(self):
@@ -211,7 +211,7 @@
                 one.store.put("servers/0", {})
                 await until(lambda: one.names == ["0", "5"])
 
-        with mock.patch.object(store_health, "LAPSE_MS", LAPSE_MS):
+        with mock.patch.object(store_health, "LAPSE_GRACE_MS", LAPSE_GRACE_MS):
             run(follow())
 
     def test_a_watch_that_began_in_silence_is_begun_anew(self):
@@ -307,7 +307,7 @@
         health.note_answer(9_000)
         # Nobody asked for eight seconds: the store may be back for a moment only.
         self.assertFalse(health.settled(9_000))
-        self.assertTrue(health.settled(9_000 + store_health.LAPSE_MS))
+        self.assertTrue(health.settled(9_000 + store_health.LAPSE_GRACE_MS))
         health.note_failure(9_500, "503")
         health.note_answer(9_600)
         self.assertFalse(health.settled(9_700))
--- a/tests/gateway/test_held_requests.py
+++ b/tests/gateway/test_held_requests.py
@@ -92,7 +92,7 @@
 
         holds, stored = self.play(work)
         self.assertTrue(holds)
-        self.assertEqual(stored, HeldRecord(True, THREE.lives))
+        self.assertEqual(stored, HeldRecord(True, THREE.incarnations))
 
     def test_a_hundred_that_counted_it_make_a_few_writes(self):
         async def work(entries):
--- a/tests/gateway/test_restored_leaders.py
+++ b/tests/gateway/test_restored_leaders.py
@@ -53,7 +53,7 @@
                 served.client.on_restored = leadership.note_restored
                 # The era counts from the process's first sight of it, not its start.
                 await served.client.ping()
-                leadership.settled_era.look()
+                leadership.settled_era.check()
                 clock.advance(LEADER_TTL_MS)
                 copy = served.store.copy()
                 await leadership.try_win("g", 0, None)
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -10,7 +10,7 @@
 from fuchsiahatch_core.clock import Clock, ManualClock
 from fuchsiahatch_gateway import registration
 from fuchsiahatch_gateway.defaults import (
-    LAPSE_MS,
+    LAPSE_GRACE_MS,
 )
 from fuchsiahatch_gateway.fleet import Fleet, newest_by_address
 from fuchsiahatch_gateway.following import Follower
@@ -168,7 +168,7 @@
             await until(lambda: follower._era == 2)
             store.put("s/b", b"again")
             await until(lambda: value_of(followed, "b") == b"again", 2.0)
-            await asyncio.sleep(LAPSE_MS / 1000 + 0.3)
+            await asyncio.sleep(LAPSE_GRACE_MS / 1000 + 0.3)
             return value_of(followed, "b")
 
         self.assertEqual(self.follow(work), b"again")
@@ -180,9 +180,9 @@
             await until(lambda: "b" in followed.items)
             store.restore(copy)
             await until(lambda: follower._era == 2)
-            await asyncio.sleep(LAPSE_MS / 2000)
+            await asyncio.sleep(LAPSE_GRACE_MS / 2000)
             held = "b" in followed.items
-            await until(lambda: "b" not in followed.items, LAPSE_MS / 1000)
+            await until(lambda: "b" not in followed.items, LAPSE_GRACE_MS / 1000)
             return held
 
         self.assertTrue(self.follow(work))
@@ -327,7 +327,7 @@
             return True
 
         self.assertTrue(self.register(work))
-        self.assertLess(registration.RESTORED_SPREAD_MS, LAPSE_MS / 2)
+        self.assertLess(registration.RESTORED_SPREAD_MS, LAPSE_GRACE_MS / 2)
 
     def test_one_that_leaves_ends_nobody_elses_lease(self):
         async def work(served, registered, copy):
--- a/tests/gateway/test_settled_era.py
+++ b/tests/gateway/test_settled_era.py
@@ -32,16 +32,16 @@
 
     def test_it_is_seen_by_waiting_and_told_to_who_starts(self):
         async def work(served, era):
-            self.assertFalse(era.settled or era.lacking)
+            self.assertFalse(era.settled or era.needs_write)
             self.clock.advance(LEADER_TTL_MS)
-            self.assertTrue(era.settled and era.lacking)
+            self.assertTrue(era.settled and era.needs_write)
             await era.write()
             fresh = SettledEra(served.client, self.clock)
-            fresh.take(await self.read(served))
+            fresh.receive(await self.read(served))
             self.assertTrue(fresh.settled)
-            self.assertFalse(fresh.seen or fresh.lacking)
-            era.take(await self.read(served))
-            self.assertFalse(era.lacking)
+            self.assertFalse(fresh.seen or fresh.needs_write)
+            era.receive(await self.read(served))
+            self.assertFalse(era.needs_write)
 
         self.play(work)
 
@@ -53,9 +53,9 @@
             copy = served.store.copy()
             await served.restore(copy)
             fresh = SettledEra(served.client, self.clock)
-            fresh.take(await self.read(served))
+            fresh.receive(await self.read(served))
             self.assertFalse(fresh.settled)
-            era.take(await self.read(served))
+            era.receive(await self.read(served))
             self.assertFalse(era.settled)
             self.clock.advance(LEADER_TTL_MS)
             self.assertTrue(era.settled)
@@ -64,7 +64,7 @@
 
     def test_what_was_read_before_a_return_counts_for_nothing_behind_it(self):
         async def work(served, era):
-            era.take(Item(SETTLED_ERA_KEY, b"1", 5, 5, 1))
+            era.receive(Item(SETTLED_ERA_KEY, b"1", 5, 5, 1))
             self.assertTrue(era.settled)
             await served.restore(served.store.copy())
             self.assertFalse(era.settled)
@@ -83,7 +83,7 @@
                 clock = ManualClock(1_000)
                 leadership = Leadership(served.client, "side-1", ("10.0.0.1", 1), clock)
                 won = await leadership.try_win("g", 0, None)
-                lacking = leadership.settled_era.lacking
+                lacking = leadership.settled_era.needs_write
                 clock.advance(1)
                 alone = leadership.alone
                 served.store.era = 1
@@ -95,8 +95,8 @@
     def test_what_cannot_be_read_or_is_gone_changes_nothing(self):
         async def work(served, era):
             for value in (b"{broken", b'"1"', b"1.5", b"", None):
-                era.take(Item(SETTLED_ERA_KEY, value, 5, 5, 1))
-            era.take(None)
+                era.receive(Item(SETTLED_ERA_KEY, value, 5, 5, 1))
+            era.receive(None)
             self.assertFalse(era.settled)
             self.assertEqual(served.client.era, 1)
 
@@ -108,7 +108,7 @@
             served.store.faults.status = 503
             before = len(served.store.calls)
             for _ in range(50):
-                if era.lacking:
+                if era.needs_write:
                     await era.write()
                 self.clock.advance(20)
             self.assertEqual(len(served.store.calls) - before, 1)
--- a/tests/gateway/test_spread.py
+++ b/tests/gateway/test_spread.py
@@ -12,7 +12,7 @@
 from fuchsiahatch_adapter.store import Item
 from fuchsiahatch_core.clock import ManualClock
 from fuchsiahatch_gateway.datagrams import LoadReport, decode
-from fuchsiahatch_gateway.defaults import REPORT_MS
+from fuchsiahatch_gateway.defaults import REPORT_INTERVAL_MS
 from fuchsiahatch_gateway.fleet import Fleet
 from fuchsiahatch_gateway.reporting import Reporter
 from fuchsiahatch_standins.fleet_store import make_upstream_entry
@@ -119,7 +119,7 @@
     """Engines whose agents decide when the entries hear of their load."""
 
     def __init__(self, entries, engines, places, per_s, seed=1):
-        super().__init__(entries, engines, places, per_s, REPORT_MS, seed)
+        super().__init__(entries, engines, places, per_s, REPORT_INTERVAL_MS, seed)
         self.entries = list(self.fleets)
         self.sent = 0
         port = types.SimpleNamespace(send_encoded=self.deliver)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -82,7 +82,7 @@
     ),
     Mechanism(
         "heartbeats of entries",
-        f"{GATEWAY}/entry_beats.py",
+        f"{GATEWAY}/entry_liveness.py",
         "SILENCE_MS = 1_000",
         "SILENCE_MS = 1_000_000_000",
     ),
