--- a/packages/gateway/src/fuchsiahatch_gateway/datagrams.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/datagrams.py
@@ -1,7 +1,7 @@
-"""Messages between our processes over UDP: loads, rank states, orders.
+"""UDP messages between the system's processes: loads, rank states, orders.
 
-All of them may be lost, doubled or late. A load or a state is replaced by the next one;
-an order is sent again until a state shows its effect.
+Any message may be lost, duplicated or delayed. The next load or state replaces the
+previous one; an order is sent again until a state shows its effect.
 """
 
 import ipaddress
@@ -22,34 +22,38 @@
 _Count = t.Annotated[int, msgspec.Meta(ge=0)]
 _Rate = t.Annotated[float, msgspec.Meta(ge=0, lt=1e9)]
 _Duration = t.Annotated[float, msgspec.Meta(ge=0, lt=1e9)]
-#: Above 0, as upstreams' places are divided by it.
+#: Above 0, as the number of an upstream's slots is divided by it.
 _Pace = t.Annotated[float, msgspec.Meta(gt=0, lt=1e9)]
 
 
-#: Crashes that are told of one request at most, the last ones.
+#: Maximum number of crashes reported for one request, the most recent ones.
 MAX_CRASHES_REPORTED = 8
 _Fingerprint = t.Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-_Life = t.Annotated[str, msgspec.Meta(max_length=128)]
-_Lives = t.Annotated[tuple[_Life, ...], msgspec.Meta(max_length=MAX_CRASHES_REPORTED)]
+_Incarnation = t.Annotated[str, msgspec.Meta(max_length=128)]
+_Incarnations = t.Annotated[
+    tuple[_Incarnation, ...], msgspec.Meta(max_length=MAX_CRASHES_REPORTED)
+]
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """Load of one upstream, from the agent beside it.
+    """Load of one upstream, from the agent on its host.
 
     Attributes
     ----------
     upstream : str
         Its address, ``ip:port``.
     queued, running : int
+        Requests.
     pace : float
+        How much slower than usual the engine works.
     open : bool
-        Whether its rank group works.
+        Whether its rank group is working.
     group : str
-        That group; empty where it has none.
+        That group; empty if it has none.
     pass_ms : float
-        Time that a pass of the group takes; 0 while it is idle.
+        Duration of a pass of the group; 0 while it is idle.
     born_ms : int
-        Start of the upstream's process; 0 where it doesn't say.
+        Start time of the upstream's process; 0 if unknown.
     """
 
     upstream: str
@@ -69,14 +73,14 @@
     ----------
     group, upstream : str
     sequence : int
-        Grows with each state that one life of an agent sends.
+        Increases with each state that one incarnation of an agent sends.
     report : RankReport
     running : int
     pace : float
         How much slower than usual the engine works.
     choices : bytes
-        How often requests chose each expert of late, layer by layer, as `draw_evenly`
-        draws them; compressed, as most experts are chosen seldom.
+        How often requests chose each expert recently, layer by layer, as sampled by
+        `draw_evenly`; compressed, as most experts are chosen rarely.
     """
 
     group: str
@@ -98,9 +102,9 @@
     order : Order
         Without its map.
     change : MapChange or None
-        That map, as its difference from one that the agent should know.
+        That map, as the difference from a map that the agent should have.
     leader : Peer or None
-        Who is to be answered; whoever sent it by default.
+        Where to send the reply; the sender's address by default.
     """
 
     group: str
@@ -116,7 +120,7 @@
 
 
 class OrderReply(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """What became of an order.
+    """Result of an order.
 
     Attributes
     ----------
@@ -124,7 +128,7 @@
     term, number : int
     result : OrderResult
     lacks_base : bool
-        Whether the agent doesn't know the map that the order's differs from.
+        Whether the agent lacks the map on which the order's change is based.
     """
 
     group: str
@@ -135,16 +139,16 @@
 
 
 class StandbyNotice(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Word of a leader to its standby that a switch is under way.
+    """Notifies a leader's standby that a switch is in progress.
 
     Attributes
     ----------
     group : str
     term : int
     peers : dict of int to Peer
-        Where the agents of the ranks take datagrams.
+        The datagram addresses of the ranks' agents.
     asks_state : bool
-        Whether the standby is to send its rank's state at once.
+        Whether the standby should send its rank's state at once.
     """
 
     group: str
@@ -158,20 +162,20 @@
 
 
 class TakeoverNotice(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Word of a standby to all agents that it ends its silent leader's switch."""
+    """Notifies all agents that a standby ends its silent leader's switch."""
 
     group: str
     term: int
 
 
 class EntryHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Heartbeat of an entry to another one.
+    """Heartbeat of an entry to other entries and to agents.
 
     Attributes
     ----------
     node : str
     serving : bool
-        Whether callers may come; False from one that leaves.
+        Whether callers may connect; False when the entry leaves.
     """
 
     node: str
@@ -179,12 +183,12 @@
 
 
 class RelayedOrder(msgspec.Struct, frozen=True, array_like=True):
-    """Whom an order is passed on to.
+    """Target of a relayed order.
 
     Attributes
     ----------
     rank, number : int
-        The order's number is of its leader, as in `OrderRequest`.
+        The order's number is that of its leader, as in `OrderRequest`.
     peer : Peer
     """
 
@@ -197,7 +201,7 @@
 
 
 class OrderRelay(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Orders to copy, to be passed on by the agent of the first target.
+    """Orders to copy, to be relayed by the agent of the first target.
 
     Attributes
     ----------
@@ -216,18 +220,18 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Question of an entry whether it may send a request to an upstream.
+    """Request of an entry for a permit to send a request to an upstream.
 
     Attributes
     ----------
     number : int
-        Names the question in its answer.
+        Identifies this request in the reply.
     upstream : str
         Its instance.
     rate_per_s : float
-        The requests a second that it takes, as whoever asks has heard.
+        Its stated rate in requests per second, as known to the sender.
     age_ms : int
-        How long ago it said so.
+        How long ago the upstream stated it.
     """
 
     number: int
@@ -237,25 +241,25 @@
 
 
 class PermitReply(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Answer to it: 0 for a permit, or when to ask again."""
+    """Reply to `PermitRequest`: 0 for a permit, or the time until the next try."""
 
     number: int
     wait_ms: _Count
 
 
 class RateNotice(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Word of an entry to all others that an upstream names the rate it takes, or ends.
+    """Notifies other entries of a change or the end of an upstream's stated rate.
 
     Attributes
     ----------
     upstream : str
         Its instance.
     born_ms : int
-        Start of the life that said so.
+        Start time of the incarnation that stated it.
     rate_per_s : float or None
-        None where its answers name none any more.
+        None if its answers no longer state a rate.
     age_ms : int
-        How long ago it said so.
+        How long ago the upstream stated it.
     """
 
     upstream: str
@@ -265,34 +269,35 @@
 
 
 class CrashNotice(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """Word of an entry to all others that upstreams have crashed under a request.
+    """Notifies other entries that upstreams have crashed while running a request.
 
     Attributes
     ----------
     fingerprint : str
-    lives : tuple of str
-        All that it knows of, so that the next notice makes up for a lost one.
+    incarnations : tuple of str
+        All crashed incarnations that the sender knows of, so that the next notice makes
+        up for a lost one.
     """
 
     fingerprint: _Fingerprint
-    incarnations: _Lives
+    incarnations: _Incarnations
 
 
 class Clearance(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """Word of an entry to all others that a request got a whole answer after all."""
+    """Notifies other entries that a suspect request has got a complete answer."""
 
     fingerprint: _Fingerprint
 
 
 class LateNotice(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """Word of an entry to all others that an upstream owes it an answer for too long.
+    """Notifies other entries that an upstream's answer to the sender is overdue.
 
     Attributes
     ----------
     upstream : str
         Its instance.
     born_ms : int
-        Start of the life that owes it.
+        Start time of the incarnation whose answer is overdue.
     """
 
     upstream: str
@@ -325,19 +330,19 @@
 
 
 def decode(data: bytes) -> Message:
-    """Decode a message, whose every field is checked.
+    """Decode a message and validate all its fields.
 
     Raises
     ------
     FormError
-        When it is none of ours.
+        If the data isn't a valid message.
     """
     with reading("datagram"):
         return _DECODER.decode(data)
 
 
 def check_peer(peer: Peer) -> None:
-    """Check that datagrams can be sent to a peer.
+    """Check that a peer's address is valid for sending datagrams.
 
     Raises
     ------
@@ -346,16 +351,16 @@
     ip, port = peer
     ipaddress.IPv4Address(ip)
     if not 0 < port <= LAST_PORT:
-        raise ValueError(f"{port} is no port")
+        raise ValueError(f"{port} is not a valid port")
 
 
 class DatagramPort(protocol.DatagramProtocol):
-    """Sends and receives messages at one UDP port.
+    """Sends and receives messages on one UDP port.
 
     Parameters
     ----------
     on_message : callable
-        Is given each message and who sent it.
+        Called with each message and its sender.
     """
 
     def __init__(self, on_message: t.Callable[[Message, Peer], None]) -> None:
@@ -372,11 +377,11 @@
         try:
             self.transport.write(data, peer)
         except OSError as fault:
-            # A full link or a cut: the next report replaces this one.
+            # The link is congested or down: the next message replaces this one.
             log_event(Event.DATAGRAM_DROPPED, peer=str(peer), detail=str(fault))
 
     def datagramReceived(self, data: bytes, addr: Peer) -> None:
-        """Decode a datagram and hand it on."""
+        """Decode a datagram and pass it to the callback."""
         try:
             message = decode(data)
         except FormError as fault:
@@ -385,5 +390,5 @@
         try:
             self._on_message(message, addr)
         except Exception as fault:
-            # One message must not take the port from all others.
+            # A failure on one message must not stop the port for all others.
             log_event(Event.INTERNAL_ERROR, detail=repr(fault))
--- a/tests/gateway/test_encoded_forms.py
+++ b/tests/gateway/test_encoded_forms.py
@@ -23,13 +23,13 @@
 from fuchsiahatch_placement.rosters import Voter, change_roster
 from tests.golden import check_golden
 
-#: Values for fields of each type; the address is one that `check_peer` takes.
+#: Values for fields of each type; the address is valid for `check_peer`.
 SAMPLES = {int: 3, float: 1.5, str: "10.0.0.7:8080", bool: True, bytes: b"\x05\x06"}
 PEER = ("10.0.0.7", 17_341)
 
 
 def sample(kind):
-    """Return a value of a type; one that lets fields be left out fills them all."""
+    """Return a value of a type; optional fields are filled as well."""
     origin, inner = t.get_origin(kind), t.get_args(kind)
     if origin is t.Annotated:
         return sample(inner[0])
@@ -38,7 +38,7 @@
     if origin in (t.Union, types.UnionType):
         return sample(inner[0])
     if origin is tuple:
-        return tuple(sample(one) for one in inner if one is not Ellipsis)
+        return tuple(sample(item) for item in inner if item is not Ellipsis)
     if origin is dict:
         return {sample(inner[0]): sample(inner[1])}
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
@@ -47,7 +47,7 @@
 
 
 def make(form):
-    """Return a struct whose fields all have values, in their order."""
+    """Return a struct with a value in every field."""
     kinds = t.get_type_hints(form, include_extras=True)
     return form(*(sample(kinds[name]) for name in form.__struct_fields__))
 
@@ -55,22 +55,23 @@
 def messages():
     forms = t.get_args(datagrams.Message)
     return [
-        make(form) for form in sorted(forms, key=lambda one: one.__struct_config__.tag)
+        make(form)
+        for form in sorted(forms, key=lambda form: form.__struct_config__.tag)
     ]
 
 
 class TestEncodedForms(unittest.TestCase):
-    """Processes of two builds serve together while one replaces the other.
+    """Guards against builds that can't read each other's datagrams and stored values.
 
-    What one sends or stores must be read by the other: the bytes of each datagram and
-    of each stored value are kept in a golden file.
+    Processes of two builds run together during an upgrade. The bytes of each datagram
+    and of each stored value are therefore compared with a golden file.
     """
 
     def test_datagrams(self):
-        found = messages()
-        for message in found:
+        samples = messages()
+        for message in samples:
             self.assertEqual(datagrams.decode(datagrams.encode(message)), message)
-        lines = [datagrams.encode(message).hex() for message in found]
+        lines = [datagrams.encode(message).hex() for message in samples]
         check_golden(__file__, "datagrams", lines)
 
     def test_stored_values(self):
@@ -84,7 +85,7 @@
         self.assertEqual(decode_engine_figures("svc", figures.encode()), figures)
         self.assertEqual(leadership.decode_leader("g-1", leader), (PEER, 2))
         values = [orjson.dumps(held), entry.encode(), figures.encode(), leader]
-        check_golden(__file__, "stored_values", [one.decode() for one in values])
+        check_golden(__file__, "stored_values", [value.decode() for value in values])
 
     def test_records_and_tickets(self):
         change = Change(2, "change-2", 1_000, "operator", "a voter joined")
