--- a/packages/gateway/src/fuchsiahatch_gateway/defaults.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/defaults.py
@@ -1,56 +1,56 @@
 """Times and limits that more than one module of the gateway shares."""
 
-#: Lease of an entry's registration. One that dies is named by no lookup after this.
+#: Lease of an entry's registration; lookups stop naming a dead entry after this time.
 REGISTRATION_TTL_MS = 3_000
-#: How often leases are renewed: twice may fail before one ends.
+#: Short enough for two renewals to fail before a lease expires.
 LEASE_RENEWAL_INTERVAL_MS = 900
-#: Pause before a failed call to the store is made again, by the one part of a process
-#: that asks whether it is back.
+#: Delay before a failed call to the store is retried. While the store is down, only one
+#: part of a process polls it.
 STORE_RETRY_MS = 350
-#: Time for which the other parts wait for its answer before they ask as well. With all
-#: of them asking each 250 ms, an outage of 8 s cost 2,000 calls, 0.02 of a day's worth.
+#: Time for which the other parts of the process wait for that poll to succeed before
+#: they call the store themselves. With all of them polling every 250 ms, an outage of
+#: 8 s cost 2,000 calls, 0.02 of a day's worth.
 STORE_RECOVERY_TIMEOUT_MS = 2_500
-#: Pause before all is read anew because the store has forgotten its history.
+#: Delay before everything is read again after the store has lost its change history.
 HISTORY_RETRY_MS = 100
-#: Time after the store's return in which entries that lapsed meanwhile are back, if
-#: their owners live; the platform says about two seconds.
+#: Time after the store's return within which the items of live owners whose leases
+#: expired meanwhile are back; the platform states about two seconds.
 LAPSE_GRACE_MS = 2_300
-#: Lease of a rank group's leader. Shorter than a stream's caller waits for an event,
-#: so that a group that a dead leader holds goes on before its callers leave.
+#: Lease of a rank group's leader. Shorter than the time for which a stream's caller
+#: waits for an event: a group whose leader died while it held the group continues
+#: before callers disconnect.
 LEADER_TTL_MS = 1_500
-#: How often a leader renews its lease.
 LEADER_RENEWAL_INTERVAL_MS = 450
-#: How often an agent reads its upstream's report and counts.
+#: Interval at which an agent reads its upstream's report and counters.
 REPORT_INTERVAL_MS = 100
-#: Age beyond which an upstream's load report counts for nothing.
+#: Older load reports of an upstream are ignored.
 MAX_LOAD_AGE_MS = 1_000
-#: Prefix of the keys in the store that each agent follows.
+#: Prefix of the keys in the store that every agent watches.
 KEY_PREFIX = "fuchsiahatch/"
-#: Registrations of entries, by node. Outside `KEY_PREFIX`: each start and end of one
-#: would be a call of each agent.
+#: Registrations of entries, by node. Outside `KEY_PREFIX`, where each start and end of
+#: an entry would cost every agent a call to the store.
 ENTRIES_PREFIX = "fuchsiahatch-entries/"
 #: Leaders of rank groups, by group.
 LEADERS_PREFIX = KEY_PREFIX + "leaders/"
-#: What leaders of rank groups need of the configuration, by service.
+#: The part of the configuration that leaders of rank groups need, by service.
 ENGINES_PREFIX = KEY_PREFIX + "engines/"
-#: The store's era, once somebody has seen it last for as long as a leader's lease.
+#: The store's era, once a process has seen it last for as long as a leader's lease.
 SETTLED_ERA_KEY = KEY_PREFIX + "settled-era"
-#: Requests that are held back, by fingerprint. Outside `KEY_PREFIX`, which each agent
-#: follows: they are no matter of agents.
+#: Held requests, by fingerprint. Outside `KEY_PREFIX`, as agents don't need them.
 HELD_PREFIX = "fuchsiahatch-held/"
-#: Port of agents' datagrams among the internal ones; entries use the first.
+#: Offset of the agents' datagram port from the first internal port, that of entries.
 AGENT_PORT_OFFSET = 1
-#: Time that callers may keep a lookup answer.
+#: Time for which callers may cache a lookup answer.
 LOOKUP_TTL_S = 2
-#: Entries that one lookup answer names at most.
 MAX_LOOKUP_ENTRIES = 64
-#: How long a stopping entry still takes requests of callers that hold an older lookup
-#: answer; longer than `LOOKUP_TTL_S`.
+#: Time for which a stopping entry still accepts requests from callers with a cached
+#: lookup answer; longer than `LOOKUP_TTL_S`.
 LINGER_MS = 2_500
-#: Time kept back from the platform's grace, so that the process ends by itself.
+#: Part of the platform's grace period kept in reserve, so that the process exits by
+#: itself before it is killed.
 GRACE_RESERVE_MS = 700
-#: When a refused caller is told to come back.
+#: Base of the Retry-After that a refused caller gets.
 RETRY_AFTER_S = 0.4
-#: Shares of that time between which it is drawn: callers that were refused together
-#: would come back together, and be refused again.
+#: Bounds of the random factor on `RETRY_AFTER_S`: callers that were refused at the same
+#: time would otherwise retry at the same time and be refused again.
 RETRY_AFTER_SPREAD = (0.75, 1.5)
