--- a/packages/gateway/src/fuchsiahatch_gateway/entry_announcer.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_announcer.py
@@ -1,4 +1,4 @@
-"""An entry announces itself to agents that it hears nothing of."""
+"""Announces an entry to agents that don't report to it."""
 
 import typing as t
 
@@ -9,36 +9,37 @@
     from fuchsiahatch_gateway.fleet import Fleet
     from fuchsiahatch_gateway.known_upstream import Upstream
 
-#: Pause between two announcements to an agent whose engine was first seen of late, and
-#: how long that is. One or its answer may be lost; requests wait for the first load
-#: report.
-ANNOUNCE_MS = 200
-NEW_MS = 2_000
-#: Pause to others: their hosts stand still, or have just started and read who is there.
-ANNOUNCE_SELDOM_MS = 2_000
+#: Interval of announcements to an agent whose engine was first seen less than
+#: `NEW_UPSTREAM_MS` ago. An announcement or its answer may be lost, and requests wait
+#: for the first load report.
+ANNOUNCE_INTERVAL_MS = 200
+NEW_UPSTREAM_MS = 2_000
+#: Interval for other agents: their hosts are stalled, or have just started and read the
+#: registered entries.
+SLOW_ANNOUNCE_INTERVAL_MS = 2_000
 
 
 class EntryAnnouncer:
-    """Tells agents of this entry until they report their engines' load to it.
+    """Sends heartbeats to agents until they report their engines' load to this entry.
 
     Parameters
     ----------
     node : str
-        This entry.
+        Name of this entry.
     fleet : Fleet
     datagrams : DatagramPort
     agent_port : int
-        Where agents take datagrams.
+        Port at which agents receive datagrams.
     clock : Clock
     """
 
     __slots__ = (
         "_agent_port",
         "_announced_ms",
-        "_beat",
         "_clock",
         "_datagrams",
         "_fleet",
+        "_heartbeat",
     )
 
     def __init__(
@@ -49,7 +50,7 @@
         agent_port: int,
         clock: "Clock",
     ) -> None:
-        self._beat = EntryHeartbeat(node, True)
+        self._heartbeat = EntryHeartbeat(node, True)
         self._fleet = fleet
         self._datagrams = datagrams
         self._agent_port = agent_port
@@ -57,7 +58,7 @@
         self._announced_ms: dict[str, int] = {}
 
     def announce(self) -> None:
-        """Send a heartbeat to each agent that is silent, if it is due."""
+        """Send a heartbeat to each silent agent for which one is due."""
         now_ms = self._clock.now_ms()
         upstreams = self._fleet.upstreams
         self._announced_ms = {
@@ -69,7 +70,7 @@
             if self._is_due(upstream, now_ms):
                 self._announced_ms[instance] = now_ms
                 peer = upstream.entry.address.ip, self._agent_port
-                self._datagrams.send(self._beat, peer)
+                self._datagrams.send(self._heartbeat, peer)
 
     def _is_due(self, upstream: "Upstream", now_ms: int) -> bool:
         if self._fleet.engine_of(upstream.entry.service) is None:
@@ -79,5 +80,7 @@
         announced_ms = self._announced_ms.get(upstream.entry.instance)
         if announced_ms is None:
             return True
-        is_new = now_ms - upstream.seen_ms < NEW_MS
-        return now_ms - announced_ms >= (ANNOUNCE_MS if is_new else ANNOUNCE_SELDOM_MS)
+        is_recent = now_ms - upstream.seen_ms < NEW_UPSTREAM_MS
+        return now_ms - announced_ms >= (
+            ANNOUNCE_INTERVAL_MS if is_recent else SLOW_ANNOUNCE_INTERVAL_MS
+        )
--- a/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
@@ -1,4 +1,4 @@
-"""Which entries an agent tells of its engine's load."""
+"""The entries to which an agent reports its engine's load."""
 
 import asyncio
 import typing as t
@@ -14,18 +14,18 @@
     from fuchsiahatch_core.clock import Clock
     from fuchsiahatch_gateway.datagrams import EntryHeartbeat, Peer
 
-#: Pause between two reads of the entries' registrations. Entries that start announce
-#: themselves: a read drops those that are gone.
-READ_MS = 10_000
-#: Time for which an announcement counts where no registration has been read.
-HEARD_MS = 2 * READ_MS
+#: Interval of reads of the entries' registrations. Starting entries announce
+#: themselves; the reads remove entries that have ended.
+READ_INTERVAL_MS = 10_000
+#: Time for which an announcement is valid for an entry without a registration.
+ANNOUNCEMENT_TTL_MS = 2 * READ_INTERVAL_MS
 
 
 class EntryPeers:
-    """The entries that an agent knows, by their announcements and by the store.
+    """The entries that an agent knows from announcements and from the store.
 
-    Followed with a watch instead, each start and end of an entry is a call of each
-    agent, most of the calls that a large fleet makes.
+    The registrations are polled rather than watched: with a watch, each start and end
+    of an entry costs every agent a call, which makes up most of a large fleet's calls.
 
     Parameters
     ----------
@@ -33,31 +33,34 @@
     clock : Clock
     """
 
-    __slots__ = ("_clock", "_heard", "_items", "_registered", "_store")
+    __slots__ = ("_announced", "_clock", "_decoder", "_registered", "_store")
 
     def __init__(self, store: "StoreClient", clock: "Clock") -> None:
         self._store = store
         self._clock = clock
-        self._items = ItemDecoder(decode_entry)
+        self._decoder = ItemDecoder(decode_entry)
         self._registered: dict[str, Peer] = {}
-        #: By node: where an entry that announced itself takes datagrams, and when.
-        self._heard: dict[str, tuple[Peer, int]] = {}
+        #: By node: an announced entry's datagram address and the time of its heartbeat.
+        self._announced: dict[str, tuple[Peer, int]] = {}
 
     @property
     def peers(self) -> "set[Peer]":
-        """Where the entries take datagrams."""
-        return {*self._registered.values(), *(peer for peer, _ in self._heard.values())}
+        """The entries' datagram addresses."""
+        return {
+            *self._registered.values(),
+            *(peer for peer, _ in self._announced.values()),
+        }
 
-    def receive(self, beat: "EntryHeartbeat", peer: "Peer") -> None:
-        """Take in an entry's announcement, or that it leaves."""
-        if beat.serving:
-            self._heard[beat.node] = peer, self._clock.now_ms()
+    def receive(self, heartbeat: "EntryHeartbeat", peer: "Peer") -> None:
+        """Receive an entry's announcement or its departure."""
+        if heartbeat.serving:
+            self._announced[heartbeat.node] = peer, self._clock.now_ms()
         else:
-            self._heard.pop(beat.node, None)
-            self._registered.pop(beat.node, None)
+            self._announced.pop(heartbeat.node, None)
+            self._registered.pop(heartbeat.node, None)
 
     async def read_for_ever(self) -> None:
-        """Read the registrations now and from time to time."""
+        """Read the registrations now and at regular intervals."""
         while True:
             try:
                 await self._read()
@@ -65,16 +68,16 @@
                 log_event(Event.SERVICE_CALL_FAILED, detail=fault.detail)
                 await asyncio.sleep(STORE_RETRY_MS / 1000)
             else:
-                await asyncio.sleep(READ_MS / 1000)
+                await asyncio.sleep(READ_INTERVAL_MS / 1000)
 
     async def _read(self) -> None:
-        found = await self._store.read_all(ENTRIES_PREFIX, may_be_old=True)
-        items = {item.key.removeprefix(ENTRIES_PREFIX): item for item in found.items}
-        entries = self._items.decode_all(items)
+        result = await self._store.read_all(ENTRIES_PREFIX, may_be_old=True)
+        items = {item.key.removeprefix(ENTRIES_PREFIX): item for item in result.items}
+        entries = self._decoder.decode_all(items)
         self._registered = {node: entry.peer for node, entry in entries.items()}
-        oldest_ms = self._clock.now_ms() - HEARD_MS
-        self._heard = {
-            node: (peer, heard_ms)
-            for node, (peer, heard_ms) in self._heard.items()
-            if heard_ms > oldest_ms and node not in self._registered
+        oldest_ms = self._clock.now_ms() - ANNOUNCEMENT_TTL_MS
+        self._announced = {
+            node: (peer, announced_ms)
+            for node, (peer, announced_ms) in self._announced.items()
+            if announced_ms > oldest_ms and node not in self._registered
         }
--- a/tests/gateway/test_entry_peers.py
+++ b/tests/gateway/test_entry_peers.py
@@ -6,9 +6,9 @@
 from fuchsiahatch_gateway.datagrams import EntryHeartbeat
 from fuchsiahatch_gateway.defaults import ENTRIES_PREFIX
 from fuchsiahatch_gateway.entry_announcer import (
-    ANNOUNCE_MS,
-    ANNOUNCE_SELDOM_MS,
-    NEW_MS,
+    ANNOUNCE_INTERVAL_MS,
+    NEW_UPSTREAM_MS,
+    SLOW_ANNOUNCE_INTERVAL_MS,
     EntryAnnouncer,
 )
 from fuchsiahatch_gateway.entry_peers import EntryPeers
@@ -28,8 +28,9 @@
 
 class TestEntryPeers(unittest.TestCase):
     def test_an_entry_that_starts_costs_agents_no_call_to_the_store(self):
-        # Nineteen entries that were restarted in turn cost 2,700 calls: each agent
-        # asked the store again behind each start and each end.
+        # Guards against a watch of the registrations: each agent then called the store
+        # after each start and end of an entry, and a rolling restart of 19 entries cost
+        # 2,700 calls.
         async def play():
             async with Served() as served:
                 register(served.store, "e-1", 1)
@@ -39,21 +40,21 @@
                 before = len(served.store.calls)
                 for number in range(2, 20):
                     register(served.store, f"e-{number}", number)
-                    beat = EntryHeartbeat(f"e-{number}", True)
-                    peers.receive(beat, ("10.0.0.1", number))
+                    heartbeat = EntryHeartbeat(f"e-{number}", True)
+                    peers.receive(heartbeat, ("10.0.0.1", number))
                 await asyncio.sleep(0.1)
                 task.cancel()
                 return len(peers.peers), len(served.store.calls) - before
 
         self.assertEqual(run(play()), (19, 0))
 
-    def test_an_entry_that_leaves_is_told_no_load(self):
+    def test_a_leaving_entry_gets_no_load_reports(self):
         peers = EntryPeers(None, ManualClock())
         peers.receive(EntryHeartbeat("e-1", True), ("10.0.0.1", 1))
         peers.receive(EntryHeartbeat("e-1", False), ("10.0.0.1", 1))
         self.assertEqual(peers.peers, set())
 
-    def test_an_entry_that_is_gone_is_dropped_with_a_later_read(self):
+    def test_a_removed_entry_is_dropped_by_a_later_read(self):
         async def play():
             async with Served() as served:
                 clock = ManualClock()
@@ -86,21 +87,23 @@
         self.announcer = EntryAnnouncer("e-1", fleet, port, AGENT_PORT, self.clock)
 
     def announce_for(self, time_ms):
-        """Return how many words went out in a time."""
+        """Return how many announcements are sent in a time."""
         self.sent.clear()
         for _ in range(time_ms // 100):
             self.announcer.announce()
             self.clock.advance(100)
         return len(self.sent)
 
-    def test_a_lost_word_is_said_again(self):
-        self.assertEqual(self.announce_for(NEW_MS), NEW_MS // ANNOUNCE_MS)
+    def test_announcements_are_repeated_without_a_report(self):
+        self.assertEqual(
+            self.announce_for(NEW_UPSTREAM_MS), NEW_UPSTREAM_MS // ANNOUNCE_INTERVAL_MS
+        )
         self.assertEqual(
             self.sent[0], (EntryHeartbeat("e-1", True), ("10.0.0.9", 7341))
         )
 
-    def test_an_agent_that_reports_is_left_alone_until_it_is_silent(self):
+    def test_a_reporting_agent_gets_none_until_it_is_silent(self):
         self.upstream.note_report(self.clock.now_ms())
         self.assertEqual(self.announce_for(300), 0)
         self.clock.advance(10_000)
-        self.assertEqual(self.announce_for(2 * ANNOUNCE_SELDOM_MS), 2)
+        self.assertEqual(self.announce_for(2 * SLOW_ANNOUNCE_INTERVAL_MS), 2)
