--- a/packages/gateway/src/fuchsiahatch_gateway/following.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/following.py
@@ -1,4 +1,4 @@
-"""Following the store: what is in it now, and after each change."""
+"""Follows the store: its current items and every change of them."""
 
 import asyncio
 import contextlib
@@ -24,12 +24,12 @@
     from fuchsiahatch_gateway.item_copies import ItemCopy
     from fuchsiahatch_gateway.store_health import StoreHealth
 
-#: Pause behind an answered watch; what changes meanwhile comes with the next answer.
-#: The first change behind a quiet time is still told at once.
+#: Delay before the next watch after an answered one, which collects the changes made
+#: meanwhile. The first change after a quiet time is still seen at once.
 WATCH_PAUSE_MS = 200
-#: Changes in one answer behind which the pause is longer: none of the processes that
-#: start together can be of use before the rest has started. What leaves meanwhile is
-#: told that late, of the 2 s in which an upstream that leaves must get nothing more.
+#: Minimum number of changes in one answer for a delay of `BURST_PAUSE_MS`: processes
+#: that start together can't serve before the rest has started. A departure is seen that
+#: much later, out of the 2 s after which a leaving upstream must get no more requests.
 BURST_CHANGES = 5
 BURST_PAUSE_MS = 800
 
@@ -37,32 +37,32 @@
 class Follower:
     """Keeps copies of items with one watch for all of them.
 
-    A watch that waits is a priced call, and so is each one behind a change, a loss of
-    history or a return of the store.
+    The platform charges for each call: a pending watch, and each further call after a
+    change, a loss of history or a return of the store.
 
     Parameters
     ----------
     store : StoreClient
     prefix : str
-        Common to all copies; what stands below it is read.
+        Common to all copies; the items under it are read.
     health : StoreHealth
     clock : Clock
     copies : sequence of ItemCopy
-        Are told in this order.
+        Notified in this order.
 
     Attributes
     ----------
     synced : bool
-        Whether the items were read at least once.
+        Whether the items have been read at least once.
     revision : int
-        The store's revision that the items are of.
+        Revision of the store that the items correspond to.
 
     Notes
     -----
-    Guards against a store that takes calls and answers none, and forgets them: a watch
-    that began meanwhile would wait in vain long after the store's return, and a new
-    configuration would come into force seconds late. Once any call of the process is
-    answered again, all is read anew.
+    Guards against a store that accepts calls during an outage, answers none and drops
+    them: a watch that was sent meanwhile would stay pending long after the store's
+    return, and a new configuration would take effect seconds late. Once any call of
+    the process is answered again, everything is read again.
     """
 
     __slots__ = (
@@ -93,38 +93,38 @@
         self._copies = copies
         self._era = 0
         self._pause_ms = WATCH_PAUSE_MS
-        #: A read of all items that a failure has cut short.
+        #: A read of all items that a failure has interrupted.
         self._reading: RangeRead | None = None
         self.synced = False
         self.revision = 0
 
     async def run(self) -> None:
-        """Follow for ever."""
-        known = False
+        """Follow until cancelled."""
+        up_to_date = False
         while True:
             try:
-                if known:
-                    known = await self._watch_or_regain()
-                    if known:
+                if up_to_date:
+                    up_to_date = await self._watch_or_regain()
+                    if up_to_date:
                         await asyncio.sleep(self._pause_ms / 1000)
                 else:
-                    known = await self._read()
+                    up_to_date = await self._read()
             except HistoryLostError as fault:
                 log_event(Event.HISTORY_LOST, prefix=self._prefix, detail=fault.detail)
-                known = False
-                # A store may say so again of the revision that it has just named.
+                up_to_date = False
+                # A store may report this again for the revision it has just returned.
                 await asyncio.sleep(HISTORY_RETRY_MS / 1000)
             except PlatformError as fault:
                 self._health.note_failure(self._clock.now_ms(), fault.detail)
-                # A read has a short limit, and shows that the store answers again.
-                known = False
+                # A read has a short timeout, and shows when the store answers again.
+                up_to_date = False
                 await self._wait_for_store()
 
     async def _wait_for_store(self) -> None:
-        """Wait before another try: until the store answers somebody here again.
+        """Wait before a retry, until the store answers any part of this process.
 
-        Each call is priced, refused ones too: one part of the process asks, the others
-        wait for its answer.
+        The platform charges for each call, refused ones too: one part of the process
+        polls the store, and the others wait for it to get an answer.
         """
         await asyncio.sleep(random.uniform(0.5, 1.0) * STORE_RETRY_MS / 1000)
         if self._health.answers:
@@ -134,20 +134,20 @@
                 await self._health.regained.wait()
 
     async def _read(self) -> bool:
-        """Read all anew; return whether that is of the store's present era."""
+        """Read all items; return whether they are of the store's current era."""
         self._reading = self._reading or RangeRead(self._store, self._prefix)
-        found = await self._reading.finish()
+        result = await self._reading.finish()
         self._reading = None
         self._health.note_answer(self._clock.now_ms())
-        self.revision = found.revision
-        self._era = found.era
+        self.revision = result.revision
+        self._era = result.era
         self.synced = True
         for copy in self._copies:
-            copy.take_all(found.items)
-        return found.era == self._store.era
+            copy.replace_all(result.items)
+        return result.era == self._store.era
 
     async def _watch_or_regain(self) -> bool:
-        """Watch once; return whether the copies still are without gaps."""
+        """Watch once; return whether the copies have missed no change."""
         watch = asyncio.ensure_future(self._watch())
         regained = asyncio.ensure_future(self._health.regained.wait())
         try:
@@ -163,12 +163,12 @@
     async def _watch(self) -> None:
         changes = await self._store.watch(self._prefix, self.revision)
         if changes.era != self._era:
-            # The store came back from an older copy and has given out this revision
-            # again: it answers, and tells of no change up to it.
+            # The store was restored from an older copy and has reused this revision:
+            # it answers, but reports no change up to it.
             raise HistoryLostError(f"revision {self.revision} is of another era")
         self._health.note_answer(self._clock.now_ms())
         self.revision = max(self.revision, changes.revision)
         is_burst = len(changes.items) >= BURST_CHANGES
         self._pause_ms = BURST_PAUSE_MS if is_burst else WATCH_PAUSE_MS
         for copy in self._copies:
-            copy.take_changes(changes.items)
+            copy.apply_changes(changes.items)
--- a/packages/gateway/src/fuchsiahatch_gateway/item_copies.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/item_copies.py
@@ -1,4 +1,4 @@
-"""Copies of the store's items, which forget only what is gone for good."""
+"""Copies of the store's items that ignore temporary deletions."""
 
 import asyncio
 import typing as t
@@ -8,14 +8,14 @@
     from fuchsiahatch_core.clock import Clock
     from fuchsiahatch_gateway.store_health import StoreHealth
 
-#: Share of all items, and least number of them, whose deletions in one answer show that
-#: the store has forgotten its leases.
+#: Deletions of this share of all items, but at least of `MIN_LAPSED` items, in one
+#: answer show that the store has lost its leases.
 LAPSE_SHARE = 0.5
-LEAST_LAPSED = 4
+MIN_LAPSED = 4
 
 
 class ItemCopy:
-    """Copy of the items below one prefix.
+    """Copy of the items under one prefix.
 
     Parameters
     ----------
@@ -23,7 +23,7 @@
     health : StoreHealth
     clock : Clock
     on_change : callable
-        Is called after each change, without arguments.
+        Called after each change, without arguments.
 
     Attributes
     ----------
@@ -32,7 +32,7 @@
 
     Notes
     -----
-    Guards against a store that forgets its leases: while it is down, the owners of
+    Guards against a store that loses its leases: while it is down, the owners of
     items can't renew them, and when it returns all of them are deleted for a moment.
     A process that acted on that would refuse every request. A deletion that comes
     within `LAPSE_GRACE_MS` of a failure is deferred until that time is over, and
@@ -57,65 +57,66 @@
         self._lapsed: set[str] = set()
         self.items: dict[str, Item] = {}
 
-    def take_all(self, found: t.Iterable["Item"]) -> None:
-        """Take over all items of the store, as they were read anew."""
-        fresh = {self._name(item): item for item in self._own(found)}
-        gone = self.items.keys() - fresh.keys()
-        self._look_for_lapse(len(gone))
-        for name in gone:
-            self._take_deletion(name)
-        self._lapsed -= fresh.keys()
-        self.items.update(fresh)
+    def replace_all(self, items: t.Iterable["Item"]) -> None:
+        """Replace the copy by all items of the store, as read again."""
+        current = {self._name(item): item for item in self._below_prefix(items)}
+        deleted = self.items.keys() - current.keys()
+        self._check_for_lapse(len(deleted))
+        for name in deleted:
+            self._apply_deletion(name)
+        self._lapsed -= current.keys()
+        self.items.update(current)
         self._on_change()
 
-    def take_changes(self, changes: t.Iterable["Item"]) -> None:
-        """Take in what has changed; items of other prefixes are passed over."""
-        own = self._own(changes)
-        self._look_for_lapse(sum(item.value is None for item in own))
-        for item in own:
-            self._take(item)
-        if own:
+    def apply_changes(self, changes: t.Iterable["Item"]) -> None:
+        """Apply changed and deleted items; other prefixes are skipped."""
+        matching = self._below_prefix(changes)
+        self._check_for_lapse(sum(item.value is None for item in matching))
+        for item in matching:
+            self._apply(item)
+        if matching:
             self._on_change()
 
-    def _own(self, items: t.Iterable["Item"]) -> "list[Item]":
+    def _below_prefix(self, items: t.Iterable["Item"]) -> "list[Item]":
         return [item for item in items if item.key.startswith(self._prefix)]
 
-    def _look_for_lapse(self, deleted: int) -> None:
-        if deleted >= max(LEAST_LAPSED, LAPSE_SHARE * len(self.items)):
+    def _check_for_lapse(self, deleted: int) -> None:
+        if deleted >= max(MIN_LAPSED, LAPSE_SHARE * len(self.items)):
             self._health.note_lapse(self._clock.now_ms(), deleted)
 
-    def _take(self, item: "Item") -> None:
+    def _apply(self, item: "Item") -> None:
         name = self._name(item)
-        known = self.items.get(name)
-        if known is not None and known.told >= item.told:
+        current = self.items.get(name)
+        if current is not None and current.told >= item.told:
             return
         if item.value is None:
-            self._take_deletion(name)
+            self._apply_deletion(name)
             return
         self._lapsed.discard(name)
         self.items[name] = item
 
-    def _take_deletion(self, name: str) -> None:
+    def _apply_deletion(self, name: str) -> None:
         if name not in self.items:
             return
         if self._health.settled(self._clock.now_ms()):
             del self.items[name]
             return
         self._lapsed.add(name)
-        self._look_again(name)
+        self._schedule_recheck(name)
 
-    def _look_again(self, name: str) -> None:
-        # Until the store's first seconds are over, not for as long from now on: an
-        # upstream that left late in them got requests for 2.2 s more, over its bound.
+    def _schedule_recheck(self, name: str) -> None:
+        # Waits until the grace time after the store's return is over, not for a whole
+        # grace time from now: an upstream that left late in it got requests for 2.2 s
+        # more, longer than the limit.
         wait_ms = self._health.settles_in_ms(self._clock.now_ms()) + 1
         loop = asyncio.get_running_loop()
-        loop.call_later(wait_ms / 1000, self._end_lapse, name)
+        loop.call_later(wait_ms / 1000, self._finish_deletion, name)
 
-    def _end_lapse(self, name: str) -> None:
+    def _finish_deletion(self, name: str) -> None:
         if name not in self._lapsed:
             return
         if not self._health.settled(self._clock.now_ms()):
-            self._look_again(name)
+            self._schedule_recheck(name)
             return
         self._lapsed.discard(name)
         self.items.pop(name, None)
--- a/packages/gateway/src/fuchsiahatch_gateway/item_decoding.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/item_decoding.py
@@ -1,4 +1,4 @@
-"""Items of the store as typed values, unreadable ones passed over."""
+"""Decodes items of the store into typed values and skips unreadable ones."""
 
 import typing as t
 
@@ -12,42 +12,45 @@
 
 
 class ItemDecoder(t.Generic[T]):
-    """Decodes the items below one prefix, each once until it changes.
+    """Decodes the items under one prefix, each only once until it changes.
 
     Parameters
     ----------
     decode : callable
-        Makes a value of an item's name and bytes; raises `FormError`.
+        Returns the value of an item's name and bytes; raises `FormError`.
 
     Attributes
     ----------
     unreadable : int
-        Items passed over so far.
+        Items skipped so far.
 
     Notes
     -----
-    Guards against another writer's item, which may hold anything: it names nobody, is
-    logged once and not at each change of any other item, and all others hold.
+    Guards against items from other writers, which may hold anything: an unreadable item
+    is left out, logged once and not at each change of another item, and doesn't affect
+    the others.
     """
 
-    __slots__ = ("_decode", "_known", "unreadable")
+    __slots__ = ("_decode", "_decoded", "unreadable")
 
     def __init__(self, decode: t.Callable[[str, bytes], T]) -> None:
         self._decode = decode
-        self._known: dict[str, tuple[Item, T | None]] = {}
+        self._decoded: dict[str, tuple[Item, T | None]] = {}
         self.unreadable = 0
 
     def decode_all(self, items: t.Mapping[str, "Item"]) -> dict[str, T]:
-        """Return the values of all items that can be read, by name."""
-        self._known = {name: self._read(name, item) for name, item in items.items()}
+        """Return the values of all readable items, by name."""
+        self._decoded = {name: self._read(name, item) for name, item in items.items()}
         return {
-            name: value for name, (_, value) in self._known.items() if value is not None
+            name: value
+            for name, (_, value) in self._decoded.items()
+            if value is not None
         }
 
     def _read(self, name: str, item: "Item") -> "tuple[Item, T | None]":
-        known = self._known.get(name)
-        if known is not None and known[0] == item:
-            return known
+        decoded = self._decoded.get(name)
+        if decoded is not None and decoded[0] == item:
+            return decoded
         try:
             return item, self._decode(name, item.value or b"")
         except FormError as fault:
--- a/packages/gateway/src/fuchsiahatch_gateway/registration.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/registration.py
@@ -1,4 +1,4 @@
-"""A key under a lease that is renewed while its owner lives."""
+"""A key in the store under a lease that its owner keeps renewing."""
 
 import asyncio
 import contextlib
@@ -18,11 +18,11 @@
     STORE_RETRY_MS,
 )
 
-#: Pause before a registration whose lease has ended is made anew.
+#: Delay before a registration whose lease has expired is written again.
 LEASE_RETRY_MS = 100
-#: Time over which those spread that the store has forgotten all at once, so that a
-#: fleet of hundreds doesn't write in one moment. Others wait for them for
-#: `LAPSE_GRACE_MS`.
+#: Time over which processes spread their registrations after the store has lost all of
+#: them, so that a fleet of hundreds doesn't write at the same moment. Other processes
+#: keep the old registrations for `LAPSE_GRACE_MS`.
 RESTORED_SPREAD_MS = 800
 
 if t.TYPE_CHECKING:
@@ -67,17 +67,17 @@
         self._health = health
         self._clock = clock
         self._lease = 0
-        #: Of the store as the lease was made.
+        #: The store's era when the lease was granted.
         self._era = 0
         self._withdrawn = False
 
     async def run(self) -> None:
-        """Register, renew, and register anew when the lease has ended."""
+        """Register, renew, and register again when the lease has expired."""
         while not self._withdrawn:
             try:
                 await self._renew()
                 self._health.note_answer(self._clock.now_ms())
-                await self._rest()
+                await self._wait_for_renewal()
             except StoreRestoredError as fault:
                 log_event(Event.LEASE_LOST, key=self._key, detail=fault.detail)
                 self._lease = 0
@@ -90,19 +90,19 @@
                 self._health.note_failure(self._clock.now_ms(), fault.detail)
                 await asyncio.sleep(STORE_RETRY_MS / 1000)
 
-    async def _rest(self) -> None:
-        """Wait until the next renewal, or until the store is back."""
+    async def _wait_for_renewal(self) -> None:
+        """Wait until the next renewal is due or the store answers again."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LEASE_RENEWAL_INTERVAL_MS / 1000):
                 await self._health.regained.wait()
 
     async def withdraw(self) -> None:
-        """End the registration for good; where that fails it lapses by itself.
+        """End the registration for good; if that fails, its lease expires.
 
         Notes
         -----
-        Guards against a process that stops and is still found: the next renewal sees
-        its lease ended and registers anew, and callers come to an entry that is gone.
+        Guards against a stopping process that registers again: its next renewal would
+        find the lease expired, and callers would connect to an entry that has ended.
         """
         self._withdrawn = True
         await self._end_lease()
@@ -110,17 +110,18 @@
     async def _end_lease(self) -> None:
         lease, self._lease = self._lease, 0
         try:
-            # Of another era it may be somebody else's by now.
+            # In another era, the same id may belong to another process's lease.
             if lease and self._era == self._store.era:
                 await self._store.revoke(lease)
         except PlatformError as fault:
             log_event(Event.SERVICE_CALL_FAILED, detail=fault.detail)
 
     async def _renew(self) -> None:
-        """Renew the lease, or make one.
+        """Renew the lease, or get a new one.
 
-        Guards against a store that came back from an older copy: it may have given the
-        lease's number out again, renews it, and this process is found by nobody.
+        Guards against a store that was restored from an older copy: it may have granted
+        the same lease id again, so that the renewal succeeds although this process is
+        no longer registered.
         """
         if self._lease:
             self._check_era()
--- a/packages/gateway/src/fuchsiahatch_gateway/store_health.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/store_health.py
@@ -1,4 +1,4 @@
-"""Whether the store answers this process, and since when."""
+"""Tracks whether the store answers this process, and since when."""
 
 import asyncio
 import dataclasses
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(slots=True)
 class StoreHealth:
-    """When the store last failed and last answered this process.
+    """Times at which the store last failed and last answered this process.
 
     Attributes
     ----------
     failed_ms, answered_ms, regained_ms : int or None
-        The last failure, the last answer, and the first answer behind a failure.
+        The last failure, the last answer, and the first answer after a failure.
     regained : asyncio.Event
-        Set, and replaced by another, when the store answers again.
+        Set, and replaced by a new one, when the store answers again.
     """
 
     failed_ms: int | None = None
@@ -34,15 +34,16 @@
         self.answered_ms = now_ms
 
     def note_lapse(self, now_ms: int, deleted: int) -> None:
-        """Note that the store has forgotten its leases."""
+        """Note that the store has lost its leases."""
         log_event(Event.LEASES_LAPSED, deleted=deleted)
         self.regained_ms = now_ms
 
     def note_restored(self, now_ms: int) -> None:
-        """Note that the store came back from an older copy, without its leases.
+        """Note that the store was restored from an older copy, without its leases.
 
-        Others' registrations are missing until they have written them again, as behind
-        an outage; and whoever waits for the store's return reads all anew.
+        As after an outage, registrations of other processes are missing until they
+        have been written again, and tasks that wait for the store to recover read
+        everything again.
         """
         self.regained_ms = now_ms
         self.regained.set()
@@ -62,13 +63,13 @@
         return self.answered_ms is not None and self.answered_ms > self.failed_ms
 
     def settles_in_ms(self, now_ms: int) -> int:
-        """Return when to look again whether what is gone is gone, at the least."""
+        """Return the minimum time until a deletion may count as final."""
         if not self.answers or self.regained_ms is None:
             return LAPSE_GRACE_MS // 4
         return max(self.regained_ms + LAPSE_GRACE_MS - now_ms, 0)
 
     def settled(self, now_ms: int) -> bool:
-        """Whether the store has answered for so long that what is gone is gone."""
+        """Whether the store has answered for so long that deletions are final."""
         if self.regained_ms is None:
             return self.failed_ms is None
         return self.answers and now_ms - self.regained_ms >= LAPSE_GRACE_MS
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -16,12 +16,12 @@
 from tests.loopback import run
 
 LAPSE_GRACE_MS = 300
-#: Long enough for parts of it to be told apart beside other tests.
+#: Long enough to tell parts of it apart while other tests load the machine.
 LONG_LAPSE_MS = 1_000
 
 
-class Following:
-    """A follower of the store's stand-in, for the time of a context."""
+class FollowedStore:
+    """A follower of the stand-in store, for the time of a context."""
 
     def __init__(self, history_ms=20_000):
         self.history_ms = history_ms
@@ -44,18 +44,18 @@
         await self.store.close()
 
     def follow(self, prefix):
-        """Return a follower of the items below a prefix, and its copy."""
+        """Return a follower of the items under a prefix, and its copy."""
         copy = ItemCopy(prefix, self.health, self.clock, lambda: None)
         follower = Follower(self.client, prefix, self.health, self.clock, [copy])
         return follower, copy
 
     def register(self):
-        """Keep a registration in the store beside the follower."""
-        own = Registration(
+        """Keep a registration in the store while the follower runs."""
+        registration = Registration(
             self.client, "fuchsiahatch-entries/e", b"{}", self.health, self.clock
         )
-        self.tasks.append(asyncio.ensure_future(own.run()))
-        return own
+        self.tasks.append(asyncio.ensure_future(registration.run()))
+        return registration
 
     @property
     def names(self):
@@ -65,66 +65,66 @@
 class TestFollower(unittest.TestCase):
     def test_changes_and_deletions_arrive(self):
         async def follow():
-            async with Following() as one:
-                one.store.put("servers/a", {"n": 1})
-                one.store.put("servers/b", {"n": 1})
-                await until(lambda: one.names == ["a", "b"])
-                one.store.remove("servers/a")
-                await until(lambda: one.names == ["b"])
+            async with FollowedStore() as followed:
+                followed.store.put("servers/a", {"n": 1})
+                followed.store.put("servers/b", {"n": 1})
+                await until(lambda: followed.names == ["a", "b"])
+                followed.store.remove("servers/a")
+                await until(lambda: followed.names == ["b"])
 
         run(follow())
 
     def test_all_pages_are_read(self):
         async def follow():
-            async with Following() as one:
-                one.store.compact()
+            async with FollowedStore() as followed:
+                followed.store.compact()
                 for number in range(120):
-                    one.store.put(f"servers/{number:03}", {})
-                one.store.compact()
-                await until(lambda: len(one.names) == 120)
+                    followed.store.put(f"servers/{number:03}", {})
+                followed.store.compact()
+                await until(lambda: len(followed.names) == 120)
 
         run(follow())
 
     def test_a_burst_of_changes_is_followed_with_few_calls(self):
-        # Half of what the platform charges is for calls in the two seconds behind each
-        # start of everything: all upstreams and entries register one after the other,
-        # and each process asked again behind each one of them.
+        # Guards against a call per change: all upstreams and entries register one after
+        # another in the two seconds after a start of everything, and each process made
+        # a new call after each of them, half of all calls that the platform charged.
         async def follow():
-            async with Following() as one:
+            async with FollowedStore() as followed:
                 await asyncio.sleep(following.WATCH_PAUSE_MS / 1000)
-                before = len(one.store.calls)
-                began_ms = one.clock.now_ms()
-                one.store.put("servers/00", {})
-                await until(lambda: one.names == ["00"])
-                first_ms = one.clock.now_ms() - began_ms
+                before = len(followed.store.calls)
+                began_ms = followed.clock.now_ms()
+                followed.store.put("servers/00", {})
+                await until(lambda: followed.names == ["00"])
+                first_ms = followed.clock.now_ms() - began_ms
                 for number in range(1, 30):
-                    one.store.put(f"servers/{number:02}", {})
+                    followed.store.put(f"servers/{number:02}", {})
                     await asyncio.sleep(0.015)
-                await until(lambda: len(one.names) == 30)
-                return first_ms, len(one.store.calls) - before
+                await until(lambda: len(followed.names) == 30)
+                return first_ms, len(followed.store.calls) - before
 
         first_ms, calls = run(follow())
         self.assertLess(first_ms, following.WATCH_PAUSE_MS)
         self.assertLessEqual(calls, 8)
 
     def test_a_start_of_a_hundred_processes_is_followed_with_few_calls(self):
-        # A tenth of a day's worth goes to the platform for calls: as 300 processes
-        # start one after the other, each of them asks again five times a second.
+        # Guards against a watch rate of five calls a second in each of 300 processes
+        # while they start one after another, which cost a tenth of a day's worth.
         async def follow():
-            async with Following() as one:
+            async with FollowedStore() as followed:
                 await asyncio.sleep(following.WATCH_PAUSE_MS / 1000)
-                before = len(one.store.calls)
+                before = len(followed.store.calls)
                 for number in range(100):
-                    one.store.put(f"servers/{number:03}", {})
+                    followed.store.put(f"servers/{number:03}", {})
                     await asyncio.sleep(0.02)
-                await until(lambda: len(one.names) == 100)
-                return len(one.store.calls) - before
+                await until(lambda: len(followed.names) == 100)
+                return len(followed.store.calls) - before
 
         self.assertLessEqual(run(follow()), 6)
 
     def test_a_loss_of_history_costs_one_watch_and_one_range_for_all_copies(self):
-        # Each entry watched four parts of the store: behind a loss of history and each
-        # start of a fleet it made four times the calls that one watch makes.
+        # Guards against one watch per copy: with four of them, an entry made four times
+        # the calls of a single watch after a loss of history and at a fleet's start.
         async def follow():
             async with Site() as site:
                 upstreams = site.entry.fleet.upstreams
@@ -141,128 +141,133 @@
         calls = run(follow())
         self.assertLessEqual(len(calls), 3, calls)
 
-    def test_a_watch_ends_before_the_history_that_it_waits_in(self):
-        # Agents of a quiet group lost the history each twenty seconds: 72 of them made
-        # three calls each for it in place of one.
+    def test_a_watch_ends_before_its_revision_leaves_the_history(self):
+        # Guards against watches that outlast the store's history: 72 agents of a quiet
+        # group lost it every twenty seconds and made three calls each instead of one.
         async def follow():
-            async with Following(history_ms=400) as one:
-                one.store.put("servers/a", {})
-                await until(lambda: one.names == ["a"])
+            async with FollowedStore(history_ms=400) as followed:
+                followed.store.put("servers/a", {})
+                await until(lambda: followed.names == ["a"])
                 await asyncio.sleep(1.5)
-                return one.client.calls
+                return followed.client.calls
 
         calls = run(follow())
         self.assertGreaterEqual(calls["store watch servers/ 200"], 3)
         self.assertEqual(calls["store range servers/ 200"], 1)
 
-    def test_what_lapsed_while_the_store_was_away_is_waited_for(self):
-        # Every member is refused for two seconds after the store's return: the leases
-        # of all upstreams ran out meanwhile, and their entries were gone for a moment.
+    def test_items_whose_leases_expired_in_an_outage_are_kept(self):
+        # Guards against deletions by an outage: the leases of all upstreams expired
+        # while the store was down, their items were missing for a moment after its
+        # return, and every request was refused for two seconds.
         async def follow():
-            async with Following() as one:
-                one.store.put("servers/back", {})
-                one.store.put("servers/gone", {})
-                await until(lambda: len(one.names) == 2)
-                one.store.faults.status = 503
-                one.store.cut()
-                await until(lambda: not one.health.answers)
-                one.store.remove("servers/back")
-                one.store.remove("servers/gone")
-                one.store.faults.status = 0
-                await until(lambda: one.health.answers)
-                self.assertEqual(one.names, ["back", "gone"])
-                one.store.put("servers/back", {})
-                await until(lambda: one.names == ["back"])
+            async with FollowedStore() as followed:
+                followed.store.put("servers/back", {})
+                followed.store.put("servers/gone", {})
+                await until(lambda: len(followed.names) == 2)
+                followed.store.faults.status = 503
+                followed.store.cut()
+                await until(lambda: not followed.health.answers)
+                followed.store.remove("servers/back")
+                followed.store.remove("servers/gone")
+                followed.store.faults.status = 0
+                await until(lambda: followed.health.answers)
+                self.assertEqual(followed.names, ["back", "gone"])
+                followed.store.put("servers/back", {})
+                await until(lambda: followed.names == ["back"])
 
         with mock.patch.object(store_health, "LAPSE_GRACE_MS", LAPSE_GRACE_MS):
             run(follow())
 
-    def test_what_goes_long_behind_a_return_is_waited_for_no_longer_than_the_rest(self):
-        # A hold reaches an upstream 2.2 s after it has left, and fails there: its entry
-        # went 1.3 s behind the store's return, and the wait for entries that come back
-        # began anew with it instead of ending with the store's first seconds.
+    def test_a_late_deletion_does_not_start_a_new_grace_time(self):
+        # Guards against requests to an upstream that has left: its item was deleted
+        # 1.3 s after the store's return, which began a new grace time instead of using
+        # the rest of the current one; a request reached it 2.2 s after it left and
+        # failed.
         async def follow():
-            async with Following() as one:
-                one.store.put("servers/gone", {})
-                await until(lambda: one.names == ["gone"])
-                one.health.note_failure(one.clock.now_ms(), "a cut")
-                one.health.note_answer(one.clock.now_ms() + 1)
+            async with FollowedStore() as followed:
+                followed.store.put("servers/gone", {})
+                await until(lambda: followed.names == ["gone"])
+                followed.health.note_failure(followed.clock.now_ms(), "a cut")
+                followed.health.note_answer(followed.clock.now_ms() + 1)
                 await asyncio.sleep(0.8 * LONG_LAPSE_MS / 1000)
-                one.store.remove("servers/gone")
+                followed.store.remove("servers/gone")
                 await asyncio.sleep(0.4 * LONG_LAPSE_MS / 1000)
-                self.assertEqual(one.names, [])
+                self.assertEqual(followed.names, [])
 
         with mock.patch.object(store_health, "LAPSE_GRACE_MS", LONG_LAPSE_MS):
             run(follow())
 
     def test_a_lapse_is_noticed_without_a_failed_call(self):
-        # A member's request is refused though all upstreams work: the store was away
-        # for a second and forgot its leases; an entry whose only call was a watch that
-        # waited saw no failure, and believed that all upstreams had gone at once.
+        # Guards against a short outage that no call fails in: the store was down for a
+        # second and lost its leases; an entry whose only call was a pending watch saw
+        # no failure, dropped all upstreams and refused a request though all of them
+        # worked.
         async def follow():
-            async with Following() as one:
+            async with FollowedStore() as followed:
                 for number in range(6):
-                    one.store.put(f"servers/{number}", {})
-                await until(lambda: len(one.names) == 6)
+                    followed.store.put(f"servers/{number}", {})
+                await until(lambda: len(followed.names) == 6)
                 for number in range(5):
-                    one.store.remove(f"servers/{number}")
-                await until(lambda: one.follower.revision >= one.store.revision)
-                self.assertEqual(len(one.names), 6)
-                one.store.put("servers/0", {})
-                await until(lambda: one.names == ["0", "5"])
+                    followed.store.remove(f"servers/{number}")
+                await until(
+                    lambda: followed.follower.revision >= followed.store.revision
+                )
+                self.assertEqual(len(followed.names), 6)
+                followed.store.put("servers/0", {})
+                await until(lambda: followed.names == ["0", "5"])
 
         with mock.patch.object(store_health, "LAPSE_GRACE_MS", LAPSE_GRACE_MS):
             run(follow())
 
-    def test_a_watch_that_began_in_silence_is_begun_anew(self):
-        # A route that was added is still answered with 404 three seconds after the
-        # operator's change: the store took the watch while it answered nobody, and
-        # forgot it; the entry went on waiting for that watch after the store's return.
+    def test_a_watch_sent_to_a_silent_store_is_sent_again(self):
+        # Guards against a watch that the store dropped: it accepted the watch while it
+        # answered nothing, and the entry went on waiting for it after the store's
+        # return. An added route was answered with 404 three seconds after the change.
         async def follow():
-            async with Following() as one:
-                one.register()
-                await until(lambda: one.store.keys("fuchsiahatch-entries/"))
-                one.store.faults.silent = True
-                one.store.cut()
+            async with FollowedStore() as followed:
+                followed.register()
+                await until(lambda: followed.store.keys("fuchsiahatch-entries/"))
+                followed.store.faults.silent = True
+                followed.store.cut()
                 await asyncio.sleep(1.5)
-                one.store.faults.silent = False
-                one.store.put("servers/a", {})
-                await until(lambda: one.names == ["a"], 2.5)
+                followed.store.faults.silent = False
+                followed.store.put("servers/a", {})
+                await until(lambda: followed.names == ["a"], 2.5)
 
         run(follow())
 
-    def test_the_store_is_found_again_after_silence(self):
+    def test_following_resumes_after_a_silent_store(self):
         async def follow():
-            async with Following() as one:
-                one.store.faults.silent = True
-                one.store.cut()
-                await until(lambda: not one.health.answers)
-                one.store.faults.silent = False
-                one.store.put("servers/a", {})
-                await until(lambda: one.names == ["a"])
+            async with FollowedStore() as followed:
+                followed.store.faults.silent = True
+                followed.store.cut()
+                await until(lambda: not followed.health.answers)
+                followed.store.faults.silent = False
+                followed.store.put("servers/a", {})
+                await until(lambda: followed.names == ["a"])
 
         run(follow())
 
 
 class TestOutage(unittest.TestCase):
-    def test_few_calls_are_made_while_the_store_is_away(self):
-        # An outage of some seconds costs more than the day's other calls together: all
-        # parts of all processes asked again and again whether it was over.
+    def test_few_calls_are_made_while_the_store_is_down(self):
+        # Guards against polling by all parts of all processes during an outage: one of
+        # some seconds cost more than all other calls of the day together.
         async def follow():
-            async with Following() as one:
-                one.register()
+            async with FollowedStore() as followed:
+                followed.register()
                 for prefix in ("a/", "b/"):
-                    other, _ = one.follow(prefix)
-                    one.tasks.append(asyncio.ensure_future(other.run()))
-                await until(lambda: one.store.keys("fuchsiahatch-entries/"))
-                one.store.faults.status = 503
-                one.store.cut()
-                before = len(one.store.calls)
+                    follower, _ = followed.follow(prefix)
+                    followed.tasks.append(asyncio.ensure_future(follower.run()))
+                await until(lambda: followed.store.keys("fuchsiahatch-entries/"))
+                followed.store.faults.status = 503
+                followed.store.cut()
+                before = len(followed.store.calls)
                 await asyncio.sleep(2.0)
-                calls = len(one.store.calls) - before
-                one.store.faults.status = 0
-                one.store.put("servers/a", {})
-                await until(lambda: one.names == ["a"], 1.0)
+                calls = len(followed.store.calls) - before
+                followed.store.faults.status = 0
+                followed.store.put("servers/a", {})
+                await until(lambda: followed.names == ["a"], 1.0)
                 return calls
 
         self.assertLessEqual(run(follow()), 12)
@@ -270,42 +275,45 @@
 
 class TestRegistration(unittest.TestCase):
     def test_a_registration_comes_back_after_its_lease_has_ended(self):
-        # An entry gets no more callers after the store's return: its lease had ended,
-        # and it went on renewing one that was no longer there.
+        # Guards against renewing a lease that has expired: after the store's return, an
+        # entry kept renewing its old lease and got no more callers.
         async def register():
-            async with Following() as one:
-                own = one.register()
-                await until(lambda: one.store.keys("fuchsiahatch-entries/"))
-                one.store.end_leases()
-                self.assertEqual(one.store.keys("fuchsiahatch-entries/"), [])
-                await until(lambda: one.store.keys("fuchsiahatch-entries/"), 2.0)
-                await own.withdraw()
-                await until(lambda: not one.store.keys("fuchsiahatch-entries/"), 1.0)
+            async with FollowedStore() as followed:
+                registration = followed.register()
+                await until(lambda: followed.store.keys("fuchsiahatch-entries/"))
+                followed.store.end_leases()
+                self.assertEqual(followed.store.keys("fuchsiahatch-entries/"), [])
+                await until(lambda: followed.store.keys("fuchsiahatch-entries/"), 2.0)
+                await registration.withdraw()
+                await until(
+                    lambda: not followed.store.keys("fuchsiahatch-entries/"), 1.0
+                )
 
         run(register())
 
     def test_a_withdrawn_registration_stays_withdrawn(self):
-        # Callers come to an entry that stops, and for three seconds more to nobody: the
-        # next renewal found the lease ended and registered the entry anew.
+        # Guards against a stopping entry that registers again: its next renewal found
+        # the lease expired, and callers connected to it for three seconds after its
+        # end.
         async def register():
-            async with Following() as one:
-                own = one.register()
-                await until(lambda: one.store.keys("fuchsiahatch-entries/"))
-                await own.withdraw()
+            async with FollowedStore() as followed:
+                registration = followed.register()
+                await until(lambda: followed.store.keys("fuchsiahatch-entries/"))
+                await registration.withdraw()
                 await asyncio.sleep(1.5)
-                return one.store.keys("fuchsiahatch-entries/")
+                return followed.store.keys("fuchsiahatch-entries/")
 
         self.assertEqual(run(register()), [])
 
 
 class TestHealth(unittest.TestCase):
-    def test_what_is_gone_counts_once_the_store_has_answered_for_a_while(self):
+    def test_deletions_are_final_once_the_store_has_answered_for_a_while(self):
         health = StoreHealth()
         self.assertTrue(health.settled(0))
         health.note_failure(1_000, "503")
         self.assertFalse(health.settled(9_000))
         health.note_answer(9_000)
-        # Nobody asked for eight seconds: the store may be back for a moment only.
+        # There was no call for eight seconds: the store may be back only briefly.
         self.assertFalse(health.settled(9_000))
         self.assertTrue(health.settled(9_000 + store_health.LAPSE_GRACE_MS))
         health.note_failure(9_500, "503")
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -25,9 +25,9 @@
 
 
 class TestEras(unittest.TestCase):
-    """What is read of two eras of the store is never taken for one."""
+    """Reads from two eras of the store are never combined into one result."""
 
-    def test_a_range_of_two_eras_is_read_anew(self):
+    def test_a_range_across_two_eras_is_read_again(self):
         async def read():
             async with Served() as served:
                 for number in range(2 * PAGE_ITEMS):
@@ -50,7 +50,7 @@
         self.assertEqual(found.items[0].value, b"new")
         self.assertEqual(found.era, 2)
 
-    def test_an_era_that_is_no_number_or_lower_is_no_restore(self):
+    def test_a_lower_or_invalid_era_is_not_a_restore(self):
         async def read():
             async with Served() as served:
                 restored = []
@@ -64,8 +64,9 @@
 
         self.assertEqual(run(read()), ([6], 6))
 
-    def test_the_first_era_that_is_named_behind_other_answers_is_a_restore(self):
-        # A dropped route was back behind the first drill of a store that begins with 0.
+    def test_the_first_era_named_after_other_answers_is_a_restore(self):
+        # Guards against a deleted route that comes back after the first restore of a
+        # store whose eras begin with 0.
         async def read(first):
             async with Served() as served:
                 restored = []
@@ -82,12 +83,12 @@
 
 
 def value_of(copy, name):
-    found = copy.items.get(name)
-    return None if found is None else found.value
+    item = copy.items.get(name)
+    return None if item is None else item.value
 
 
 async def lose_ten(store, followed):
-    """Let the store come back without the last ten changes that a follower has seen."""
+    """Restore the store to a state before ten changes that a follower has seen."""
     copy = store.copy()
     for number in range(10):
         store.put("s/b", b"lost %d" % number)
@@ -96,7 +97,7 @@
 
 
 class TestFollower(unittest.TestCase):
-    """A copy of the store's items follows it through a return from an older state."""
+    """A copy of the store's items stays correct after the store was restored."""
 
     def follow(self, work):
         async def play():
@@ -117,16 +118,16 @@
 
         return run(play())
 
-    def test_changes_below_a_revision_that_is_reached_again_are_seen(self):
-        # An operator's change is in force everywhere but on one host: it was cut off
-        # while the store went back by ten revisions and gave them out again, and its
-        # watch goes on behind all that was written meanwhile.
+    def test_changes_below_a_reused_revision_are_seen(self):
+        # Guards against one host that misses an operator's change: it was cut off while
+        # the store went back by ten revisions and reused them, so that its watch
+        # continued after everything written meanwhile.
         async def work(store, followed, follower):
             await lose_ten(store, followed)
             store.put("s/c", b"second time")
             for number in range(20):
                 store.put("other", b"%d" % number)
-            # Its watch is taken, and waits for a change above that.
+            # The watch is accepted, and waits for a change above its revision.
             await until(lambda: store.calls[-1].endswith("watch"))
             await asyncio.sleep(0.1)
             store.put("s/d", b"above")
@@ -135,8 +136,8 @@
 
         self.assertEqual(self.follow(work), b"second time")
 
-    def test_a_watch_that_waits_is_given_up_once_any_call_tells_the_era(self):
-        # The same, and nothing else is written for half a minute.
+    def test_a_pending_watch_is_cancelled_once_any_call_shows_the_new_era(self):
+        # The same, with no further write for half a minute.
         async def work(store, followed, follower):
             await lose_ten(store, followed)
             store.put("s/c", b"second time")
@@ -149,9 +150,9 @@
 
         self.assertEqual(self.follow(work), b"second time")
 
-    def test_what_is_written_again_at_a_lower_revision_is_taken(self):
-        # An entry is named by no lookup for as long as it lives: it has registered
-        # again, at a revision below the one that others know of it.
+    def test_an_item_written_again_at_a_lower_revision_is_applied(self):
+        # Guards against an entry that lookups never name again: it has registered again
+        # at a revision below the one that other entries have of it.
         async def work(store, followed, follower):
             await lose_ten(store, followed)
             store.put("s/b", b"again")
@@ -160,9 +161,10 @@
 
         self.assertTrue(self.follow(work))
 
-    def test_what_is_written_again_behind_the_reading_is_taken(self):
-        # The same, and it registers a second after the others have read all anew: it is
-        # dropped at the end of the time for which it was held.
+    def test_an_item_written_again_after_the_read_is_applied(self):
+        # The same, but the entry registers a second after the others have read
+        # everything again: its deferred deletion must not drop it at the end of the
+        # grace time.
         async def work(store, followed, follower):
             await lose_ten(store, followed)
             await until(lambda: follower._era == 2)
@@ -173,7 +175,7 @@
 
         self.assertEqual(self.follow(work), b"again")
 
-    def test_what_is_missing_is_held_until_its_owner_could_have_written_it(self):
+    def test_a_missing_item_is_kept_until_its_owner_could_have_written_it(self):
         async def work(store, followed, follower):
             copy = store.copy()
             store.put("s/b", b"lost")
@@ -181,13 +183,13 @@
             store.restore(copy)
             await until(lambda: follower._era == 2)
             await asyncio.sleep(LAPSE_GRACE_MS / 2000)
-            held = "b" in followed.items
+            was_kept = "b" in followed.items
             await until(lambda: "b" not in followed.items, LAPSE_GRACE_MS / 1000)
-            return held
+            return was_kept
 
         self.assertTrue(self.follow(work))
 
-    def test_two_returns_in_a_row(self):
+    def test_two_restores_in_a_row(self):
         async def work(store, followed, follower):
             copy = store.copy()
             store.put("s/b", b"lost")
@@ -202,14 +204,14 @@
 
 
 class TestConfiguration(unittest.TestCase):
-    def test_an_older_copy_takes_nothing_back(self):
-        # A key that was revoked is good again for seconds.
+    def test_an_older_configuration_is_not_applied(self):
+        # Guards against a revoked key that is accepted again for seconds.
         table = RouteTable()
         table.apply(dump(make_configuration(5, keys=())), 1)
         self.assertFalse(table.apply(dump(make_configuration(4)), 2))
         self.assertEqual(table.configuration.version, 5)
 
-    def test_another_configuration_under_the_lost_version_holds(self):
+    def test_another_configuration_with_the_lost_version_is_applied(self):
         table = RouteTable()
         table.apply(dump(make_configuration(5)), 1)
         other = dump(make_configuration(5, keys=("another",)))
@@ -217,7 +219,7 @@
         self.assertTrue(table.apply(other, 2))
         self.assertFalse(table.apply(dump(make_configuration(5)), 2))
 
-    def test_an_entry_goes_on_with_it_and_takes_what_comes_next(self):
+    def test_an_entry_keeps_it_and_applies_the_next_one(self):
         async def play():
             async with Site(upstream(*[answers()] * 9)) as site:
                 copy = site.store.copy()
@@ -243,10 +245,10 @@
 
 
 class TestUpstreams(unittest.TestCase):
-    """Who leaves gets nothing new, whatever an older copy says of it.
+    """A leaving upstream gets no new requests, whatever an older copy says.
 
-    A request reaches an upstream seconds behind the end of its drain: the store came
-    back from a copy in which it was ready.
+    Guards against a request that reaches an upstream seconds after the end of its drain
+    because the store was restored from a copy in which it was ready.
     """
 
     def setUp(self):
@@ -255,39 +257,39 @@
 
     def usable(self, **items):
         self.fleet.apply(items)
-        return [one.entry.instance for one in self.fleet.usable("svc")]
+        return [upstream.entry.instance for upstream in self.fleet.usable("svc")]
 
-    def test_one_that_leaves_goes_on_leaving(self):
+    def test_a_leaving_upstream_stays_leaving(self):
         self.usable(a=item("a", 40, 1, "draining", born=7))
         self.assertEqual(self.usable(a=item("a", 30, 2, born=7)), [])
         self.assertEqual(self.usable(a=item("a", 60, 2, born=7)), [])
 
-    def test_its_next_life_gets_work(self):
+    def test_its_next_incarnation_gets_requests(self):
         self.usable(a=item("a", 40, 1, "draining", born=7))
         self.assertEqual(self.usable(a=item("a", 30, 2, born=8)), ["a"])
 
-    def test_within_an_era_its_own_word_holds(self):
+    def test_within_an_era_its_latest_state_counts(self):
         self.usable(a=item("a", 40, 1, "draining", born=7))
         self.assertEqual(self.usable(a=item("a", 41, 1, born=7)), ["a"])
 
-    def test_one_that_is_gone_stays_so(self):
+    def test_a_removed_upstream_stays_removed(self):
         self.usable(a=item("a", 40, 1, born=7))
         self.usable()
         self.assertEqual(self.usable(a=item("a", 40, 2, born=7)), [])
         self.assertEqual(self.usable(a=item("a", 33, 2, born=7)), [])
 
-    def test_one_that_writes_again_is_back(self):
+    def test_an_upstream_that_writes_again_is_back(self):
         self.usable(a=item("a", 40, 1, born=7))
         self.usable()
         self.usable(a=item("a", 40, 2, born=7))
         self.assertEqual(self.usable(a=item("a", 41, 2, born=7)), ["a"])
 
-    def test_one_whose_entry_lapsed_is_back(self):
+    def test_an_upstream_whose_item_expired_is_back(self):
         self.usable(a=item("a", 40, 1, born=7))
         self.usable()
         self.assertEqual(self.usable(a=item("a", 47, 1, born=7)), ["a"])
 
-    def test_the_present_life_at_an_address_counts(self):
+    def test_the_latest_incarnation_at_an_address_counts(self):
         items = {
             "old": item("old", 30, 2, born=7),
             "new": item("new", 20, 1, born=9),
@@ -317,11 +319,11 @@
 
         return run(play())
 
-    def test_one_that_was_forgotten_is_back_within_two_seconds(self):
-        # Others take whoever is missing longer than 2.3 s for gone.
+    def test_a_lost_registration_is_back_within_two_seconds(self):
+        # Other processes remove an entry that is missing for more than 2.3 s.
         async def work(served, registered, copy):
             served.store.restore(copy)
-            # The number of its lease is another's, and is renewed for it.
+            # Its lease id now belongs to another lease, so that renewing it succeeds.
             served.store._serve_grant(60_000)
             await until(lambda: served.store.get("e/1"), 2.0)
             return True
@@ -329,7 +331,7 @@
         self.assertTrue(self.register(work))
         self.assertLess(registration.RESTORED_SPREAD_MS, LAPSE_GRACE_MS / 2)
 
-    def test_one_that_leaves_ends_nobody_elses_lease(self):
+    def test_a_leaving_process_does_not_revoke_a_foreign_lease(self):
         async def work(served, registered, copy):
             await served.restore(copy)
             _, answer = served.store._serve_grant(60_000)
