--- a/packages/gateway/src/fuchsiahatch_gateway/inspection.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/inspection.py
@@ -29,77 +29,77 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.store import StoreClient
 
-#: Exit codes: what was checked is wrong; the store can't be read.
-EXIT_WRONG = 1
+#: Exit codes for an invalid file and for a store that can't be read.
+EXIT_INVALID = 1
 EXIT_UNREADABLE = 2
 
 
 class Inspection:
-    """Checks files and shows what the store holds."""
+    """Checks files and shows the contents of the store."""
 
     def check_settings(self, path: str) -> None:
-        """Check a settings file as a process would read it; 1 when it is wrong."""
+        """Check a settings file as a process would read it; exit 1 if invalid."""
         try:
             settings = read_node_settings(pathlib.Path(path))
         except SettingsError as fault:
-            _fail(str(fault), EXIT_WRONG)
-        print(f"settings of {settings.node}: in order")
+            _fail(str(fault), EXIT_INVALID)
+        print(f"settings of {settings.node}: valid")
 
     def check_configuration(self, path: str) -> None:
-        """Check a configuration file as an entry would read it; 1 when it is wrong."""
+        """Check a configuration file as an entry would read it; exit 1 if invalid."""
         try:
-            known = decode_configuration(pathlib.Path(path).read_bytes())
+            config = decode_configuration(pathlib.Path(path).read_bytes())
         except (OSError, FormError) as fault:
-            _fail(f"{path}: {type(fault).__name__}: {fault}", EXIT_WRONG)
+            _fail(f"{path}: {type(fault).__name__}: {fault}", EXIT_INVALID)
         unknown = sorted(
             service
-            for route in known.routes
+            for route in config.routes
             for service, _ in route.services
-            if service not in known.services
+            if service not in config.services
         )
         if unknown:
-            _fail(f"{path}: routes name unknown services: {unknown}", EXIT_WRONG)
-        print(f"version {known.version}: {len(known.routes)} routes, in order")
+            _fail(f"{path}: routes name unknown services: {unknown}", EXIT_INVALID)
+        print(f"version {config.version}: {len(config.routes)} routes, valid")
 
     def status(self, store: str, as_json: bool = False) -> None:
-        """Show entries, leaders, upstreams and held requests; 2 without the store.
+        """Show entries, leaders, upstreams and held requests; exit 2 without the store.
 
         Parameters
         ----------
         store : str
-            Its address, ``ip:port``.
+            Address of the store, ``ip:port``.
         as_json : bool, optional
         """
         try:
-            found = _run(store, read_status)
+            status = _run(store, read_status)
         except PlatformError as fault:
             _fail(str(fault), EXIT_UNREADABLE)
         if as_json:
-            print(json.dumps(found, indent=2))
+            print(json.dumps(status, indent=2))
             return
-        for line in describe(found):
+        for line in describe(status):
             print(line)
 
-    # Ids of digits alone, or such as 12e4, would be taken for numbers.
+    # Ids of digits only, or such as 12e4, would be parsed as numbers.
     @decorators.SetParseFns(request_id=str)
     def explain(self, request_id: str) -> None:
-        """Say what the log lines on standard input know of a request."""
+        """Explain what happened to a request, from log lines on standard input."""
         explain(request_id)
 
     def losses(self, span_ms: int = 2_000) -> None:
-        """Add up what became of requests and why, from log lines on standard input.
+        """Summarize the results of requests and their causes, from log lines on stdin.
 
         Parameters
         ----------
         span_ms : int, optional
-            Length of the spells that are told apart.
+            Length of the time spans that are counted separately.
         """
         for text in describe_losses(read_lines(sys.stdin), span_ms):
             print(text)
 
 
 async def read_status(store: "StoreClient") -> dict[str, t.Any]:
-    """Return what the store holds of the system.
+    """Return the system's state as it is in the store.
 
     Raises
     ------
@@ -109,37 +109,37 @@
     value = None if item is None else item.value
     return {
         "version": None if value is None else decode_configuration(value).version,
-        "entries": await _read_below(store, ENTRIES_PREFIX),
-        "leaders": await _read_below(store, LEADERS_PREFIX),
-        "upstreams": await _read_below(store, UPSTREAMS_PREFIX),
-        "held_requests": await _read_below(store, HELD_PREFIX),
+        "entries": await _read_prefix(store, ENTRIES_PREFIX),
+        "leaders": await _read_prefix(store, LEADERS_PREFIX),
+        "upstreams": await _read_prefix(store, UPSTREAMS_PREFIX),
+        "held_requests": await _read_prefix(store, HELD_PREFIX),
     }
 
 
-def describe(found: dict[str, t.Any]) -> t.Iterator[str]:
-    """Yield the status, a line for each thing."""
-    yield f"configuration: version {found['version']}"
-    for node, entry in found["entries"].items():
+def describe(status: dict[str, t.Any]) -> t.Iterator[str]:
+    """Yield the status, line by line."""
+    yield f"configuration: version {status['version']}"
+    for node, entry in status["entries"].items():
         yield f"entry {node}: {entry.get('zone')} {entry.get('callers')}"
-    for group, leader in found["leaders"].items():
+    for group, leader in status["leaders"].items():
         yield f"group {group}: led by {leader.get('node')}, term {leader['created']}"
-    for instance, one in found["upstreams"].items():
-        fields = (one.get(name) for name in ("service", "zone", "address", "state"))
+    for instance, record in status["upstreams"].items():
+        fields = (record.get(name) for name in ("service", "zone", "address", "state"))
         yield f"upstream {instance}: {' '.join(map(str, fields))}"
-    for fingerprint, one in found["held_requests"].items():
-        if one.get("held"):
-            crashed = " ".join(one.get("upstreams", ()))
+    for fingerprint, record in status["held_requests"].items():
+        if record.get("held"):
+            crashed = " ".join(record.get("upstreams", ()))
             yield f"held request {fingerprint}: crashed {crashed}"
 
 
-async def _read_below(store: "StoreClient", prefix: str) -> dict[str, t.Any]:
-    found = await store.read_all(prefix)
+async def _read_prefix(store: "StoreClient", prefix: str) -> dict[str, t.Any]:
+    result = await store.read_all(prefix)
     return {
         item.key.removeprefix(prefix): {
             **json.loads(item.value or b"{}"),
             "created": item.created,
         }
-        for item in found.items
+        for item in result.items
     }
 
 
--- a/tests/gateway/test_inspection.py
+++ b/tests/gateway/test_inspection.py
@@ -24,7 +24,7 @@
             path.write_text(json.dumps(document), "utf-8")
             return call(verb, str(path))
 
-    def test_files_in_order_and_not(self):
+    def test_valid_and_invalid_files(self):
         found = self.check("check_settings", SETTINGS)
         self.assertEqual(found.returncode, 0, found.stderr)
         found = self.check("check_settings", {})
@@ -40,7 +40,7 @@
 
 
 class TestExplain(unittest.TestCase):
-    def test_an_id_of_digits_is_no_number(self):
+    def test_an_id_of_digits_is_not_parsed_as_a_number(self):
         line = {"message_type": "request_ended", "request": "12e4", "t_ms": 5}
         text = json.dumps({**line, "node": "front-1", "end": "502"})
         command = [sys.executable, "-m", "fuchsiahatch_gateway.inspection"]
@@ -55,7 +55,7 @@
 
 
 class TestStatus(unittest.TestCase):
-    def test_what_the_store_holds(self):
+    def test_status_shows_what_the_store_holds(self):
         async def ask():
             store = FleetStore()
             port = await store.listen()
@@ -84,7 +84,7 @@
         self.assertNotIn("f-2", found.stdout)
         self.assertEqual(json.loads(plain.stdout)["version"], 7)
 
-    def test_no_store(self):
+    def test_status_without_a_store_fails(self):
         found = call("status", "127.0.0.1:9")
         self.assertEqual(found.returncode, 2)
         self.assertIn("404 SERVICE_UNAVAILABLE", found.stderr)
