--- a/packages/gateway/src/fuchsiahatch_gateway/__init__.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/__init__.py
@@ -1,8 +1,9 @@
-"""The entry and the agent as they run on the users' platform.
+"""The entry and the agent processes on the users' platform.
 
-A request's way, in order: `entry` wires it; `routes` finds its route and team, `jobs`
-says how long each part of it may take, `placing` gives it a place at one of `fleet`'s
-upstreams, `attempts` sends it there, `next_steps` says what follows, and `delivery`
-holds it together. A map's way: `agent` wires it, `rank_agent` reads and orders the
-engine on its host, `leadership` says who leads, and `group_leader` plans and switches.
+The path of a request, in order: `entry` wires the modules together, `routes` finds its
+route and team, `jobs` sets its time limits, `placing` gives it a slot at one of the
+upstreams in `fleet`, `attempts` sends it, `next_steps` decides what follows an attempt,
+and `delivery` runs the whole sequence. The path of a map: `agent` wires the modules
+together, `rank_agent` reads the engine on its host and gives it orders, `leadership`
+elects the leader, and `group_leader` plans maps and switches to them.
 """
--- a/packages/gateway/src/fuchsiahatch_gateway/entry_gauges.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_gauges.py
@@ -1,4 +1,4 @@
-"""Figures of an entry on the metrics address."""
+"""Gauges of an entry on the metrics address."""
 
 import typing as t
 
@@ -8,7 +8,7 @@
 
 
 def add_gauges(entry: "Entry", process: "Process") -> None:
-    """Show an entry's figures, read when metrics are asked for."""
+    """Add an entry's gauges, which are read at each scrape."""
     add = process.add_gauge
     add("fuchsiahatch_waiting", "Requests that wait.", lambda: entry.placer.waiting)
     add("fuchsiahatch_opened", "Connections opened.", lambda: entry.pool.opened)
--- a/packages/gateway/src/fuchsiahatch_gateway/log.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output: structured, bounded, never blocking."""
+"""Structured log lines on standard output, rate-limited and non-blocking."""
 
 import os
 import typing as t
@@ -6,18 +6,18 @@
 import eliot
 import orjson
 
-#: Lines that may be written in one second; more are dropped and counted.
+#: Lines above this rate are dropped and counted.
 MAX_LINES_PER_S = 200
 
 
 class LineWriter:
-    """Writes a line for each message, and drops what can't be written at once.
+    """Writes one line per message and drops lines that would block.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; made non-blocking. A reader that stands still must not stop
-        the process: its requests would wait behind a log line.
+        File descriptor to write to; made non-blocking. A stalled reader must not stop
+        the process: its requests would wait for a log line.
     read_clock_ms : callable
 
     Attributes
@@ -27,10 +27,10 @@
 
     __slots__ = (
         "_descriptor",
-        "_in_second",
+        "_lines_in_second",
         "_read_clock_ms",
-        "_rest",
         "_second",
+        "_unwritten",
         "dropped",
         "written",
     )
@@ -40,19 +40,19 @@
         self._descriptor = descriptor
         self._read_clock_ms = read_clock_ms
         self._second = -1
-        self._in_second = 0
-        self._rest = b""
+        self._lines_in_second = 0
+        self._unwritten = b""
         self.written = 0
         self.dropped = 0
 
     def __call__(self, message: dict[str, t.Any]) -> None:
-        """Write one message, if it is within the bound."""
+        """Write one message, unless the rate limit is reached."""
         now_ms = self._read_clock_ms()
         if now_ms // 1000 != self._second:
             self._second = now_ms // 1000
-            self._in_second = 0
-        self._in_second += 1
-        if self._in_second > MAX_LINES_PER_S:
+            self._lines_in_second = 0
+        self._lines_in_second += 1
+        if self._lines_in_second > MAX_LINES_PER_S:
             self.dropped += 1
             return
         message.pop("task_uuid", None)
@@ -63,14 +63,14 @@
         self._write(orjson.dumps(message, default=str) + b"\n")
 
     def _write(self, line: bytes) -> None:
-        data = self._rest + line
+        data = self._unwritten + line
         try:
             count = os.write(self._descriptor, data)
         except BlockingIOError:
             self.dropped += 1
             return
-        # The rest of a line that was cut goes out first, so that lines stay whole.
-        self._rest = data[count:]
+        # The rest of a partially written line is written first: lines stay whole.
+        self._unwritten = data[count:]
         self.written += 1
 
 
--- a/packages/gateway/src/fuchsiahatch_gateway/main.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/main.py
@@ -1,4 +1,4 @@
-"""The program: ``python3 -m fuchsiahatch_gateway.main entry`` or ``agent``."""
+"""The entry point: ``python3 -m fuchsiahatch_gateway.main entry`` or ``agent``."""
 
 import sys
 import typing as t
@@ -31,14 +31,14 @@
 def _run(role: "_Role") -> None:
     settings = read_node_settings(settings_path())
     listening = _listen_early(settings)
-    # What takes most of the start comes behind the callers' socket.
+    # These imports take most of the start, and come after the callers' socket is open.
     import asyncio
 
     from twisted.internet import asyncioreactor
 
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
-    # Before any module that imports the reactor, which would install another one.
+    # Must precede any module that imports the reactor, which would install another one.
     asyncioreactor.install(loop)
     from twisted.internet import reactor
 
@@ -47,18 +47,19 @@
 
 
 def _listen_early(settings: "NodeSettings") -> "socket.socket | None":
-    """Open the callers' socket before all else is loaded, where callers come.
+    """Open the callers' socket, if there is one, before all other modules are loaded.
 
-    Loading takes some 0.3 s of a start. A caller who comes meanwhile waits for that
-    long; before, it was refused, had one try left, and with all entries killed at once
-    used it up as well.
+    Loading them takes some 0.3 s. A caller that connects meanwhile waits for that long.
+    If it were refused, it would have one attempt left, and would use it up as well when
+    all entries were killed at once.
     """
     if settings.callers is None:
         return None
     try:
         return open_listening(settings.callers.ip, settings.callers.port)
     except OSError as fault:
-        # The former process may hold the address for a moment; the usual way tells.
+        # The previous process may hold the address a little longer; an error that lasts
+        # is raised when the server starts to listen.
         print(f"fuchsiahatch: {settings.callers}: {fault}", file=sys.stderr)
         return None
 
--- a/packages/gateway/src/fuchsiahatch_gateway/process.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/process.py
@@ -1,4 +1,4 @@
-"""What the entry and the agent have in common: settings, signals, log, metrics."""
+"""Common parts of the entry and agent processes: settings, signals, log, metrics."""
 
 import asyncio
 import collections
@@ -22,11 +22,10 @@
 from fuchsiahatch_gateway.tasks import Tasks
 from fuchsiahatch_http1.server import Exchange, HttpServer
 
-#: How often the settings file is looked at for a change without a signal.
-SETTINGS_POLL_MS = 5_000
-#: How often the calls to the store are logged.
-CALLS_LOG_MS = 5_000
-#: Where metrics are served; the deploy file names the same port and path.
+#: Interval at which the settings file is checked for a change without a signal.
+SETTINGS_POLL_INTERVAL_MS = 5_000
+CALLS_LOG_INTERVAL_MS = 5_000
+#: Port and path of the metrics, as named in the deploy file.
 METRICS_PORT = 9464
 METRICS_PATH = b"/metrics"
 
@@ -34,13 +33,13 @@
 
 
 class Process:
-    """One process of the system, from its start to its stop.
+    """One process of the system, from start to stop.
 
     Parameters
     ----------
     settings : NodeSettings
     log : LineWriter
-        Where log lines go, for its counts.
+        The log writer; metrics show its counts.
 
     Attributes
     ----------
@@ -49,7 +48,7 @@
     stopping : asyncio.Event
         Set at SIGTERM.
     servers : list of HttpServer
-        What listens, beside the callers' own.
+        Listening servers, except the one for callers.
     """
 
     def __init__(self, settings: NodeSettings, log: LineWriter) -> None:
@@ -61,43 +60,43 @@
         self.servers: list[HttpServer] = []
         self._gauges: list[tuple[aioprometheus.Gauge, Gauge]] = []
         self._tasks = Tasks()
-        self._file_mark: tuple[int, int] | None = None
+        self._file_version: tuple[int, int] | None = None
 
     def start(self) -> None:
-        """Take over the signals and log the start."""
+        """Install the signal handlers and log the start."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        self._file_mark = _mark_of_file()
+        self._file_version = _settings_file_version()
         self.keep_running(self._watch_settings())
         self.keep_running(LoopWatch(self.registry, self.clock).run())
         log_event(Event.STARTED, zone=self.settings.zone, pid=os.getpid())
 
     def keep_running(self, work: t.Coroutine[t.Any, t.Any, None]) -> None:
-        """Run something beside the rest; a fault in it is logged and ends it."""
+        """Run a background task; an exception in it is logged and ends the process."""
         self._tasks.begin(_guard(work))
 
     def add_gauge(self, name: str, doc: str, read: Gauge) -> None:
-        """Show a figure that is read when metrics are asked for."""
+        """Add a gauge that is read at each scrape."""
         gauge = aioprometheus.Gauge(name, doc, registry=self.registry)
         self._gauges.append((gauge, read))
 
     async def log_store_calls(self, calls: collections.Counter[str]) -> None:
-        """Log the calls to the store by kind, from time to time.
+        """Log the calls to the store by kind at regular intervals.
 
         Parameters
         ----------
         calls : collections.Counter of str
-            All calls so far; it goes on being counted.
+            All calls so far; the caller keeps incrementing it.
         """
         logged: collections.Counter[str] = collections.Counter()
         while True:
-            await asyncio.sleep(CALLS_LOG_MS / 1000)
-            fresh, logged = calls - logged, calls.copy()
-            log_event(Event.STORE_CALLS, calls=dict(fresh))
+            await asyncio.sleep(CALLS_LOG_INTERVAL_MS / 1000)
+            new, logged = calls - logged, calls.copy()
+            log_event(Event.STORE_CALLS, calls=dict(new))
 
     async def serve_metrics(self) -> None:
-        """Serve the metrics."""
+        """Start the metrics server."""
         server = HttpServer(self._answer_metrics)
         self.servers.append(server)
         await server.listen(self.settings.ip, METRICS_PORT)
@@ -113,19 +112,19 @@
 
     def _reload(self) -> None:
         try:
-            fresh = read_node_settings(settings_path())
+            settings = read_node_settings(settings_path())
         except SettingsError as fault:
             log_event(Event.SETTINGS_REFUSED, detail=fault.detail)
             return
-        self.settings = fresh
-        log_event(Event.SETTINGS_APPLIED, node=fresh.node)
+        self.settings = settings
+        log_event(Event.SETTINGS_APPLIED, node=settings.node)
 
     async def _watch_settings(self) -> None:
         while True:
-            await asyncio.sleep(SETTINGS_POLL_MS / 1000)
-            mark = _mark_of_file()
-            if mark != self._file_mark:
-                self._file_mark = mark
+            await asyncio.sleep(SETTINGS_POLL_INTERVAL_MS / 1000)
+            version = _settings_file_version()
+            if version != self._file_version:
+                self._file_version = version
                 self._reload()
 
 
@@ -133,15 +132,15 @@
     try:
         await work
     except Exception as fault:
-        # The process ends, so that it starts anew with all its parts: one that has
-        # lost its watch would serve an old configuration for ever.
+        # Ends the process, so that it is restarted with all its tasks: without the
+        # watch of the store, for example, it would serve a stale configuration forever.
         log_event(Event.INTERNAL_ERROR, detail=repr(fault))
         os.kill(os.getpid(), signal.SIGTERM)
 
 
-def _mark_of_file() -> tuple[int, int] | None:
+def _settings_file_version() -> tuple[int, int] | None:
     try:
-        found = os.stat(settings_path())
+        result = os.stat(settings_path())
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size
+    return result.st_mtime_ns, result.st_size
--- a/packages/gateway/src/fuchsiahatch_gateway/tasks.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/tasks.py
@@ -1,4 +1,4 @@
-"""Work that runs beside its owner and ends with it."""
+"""Background tasks that belong to one owner."""
 
 import asyncio
 import collections.abc
@@ -8,11 +8,12 @@
 
 
 class Tasks:
-    """Tasks of one owner.
+    """The background tasks of one owner.
 
     Notes
     -----
-    A loop holds its tasks weakly: one that nobody else keeps may vanish half done.
+    An event loop holds only weak references to its tasks: one that nothing else refers
+    to may be garbage-collected before it has finished.
     """
 
     __slots__ = ("_running",)
@@ -21,12 +22,12 @@
         self._running: set[asyncio.Task[None]] = set()
 
     def begin(self, work: Work) -> None:
-        """Run something until it ends or is cancelled."""
+        """Start a task that runs until it ends or is cancelled."""
         task = asyncio.get_running_loop().create_task(work)
         self._running.add(task)
         task.add_done_callback(self._running.discard)
 
     def cancel(self) -> None:
-        """Cancel what still runs."""
+        """Cancel all tasks that still run."""
         for task in tuple(self._running):
             task.cancel()
