--- a/packages/gateway/src/fuchsiahatch_gateway/engine_figures.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/engine_figures.py
@@ -1,8 +1,8 @@
 """The few figures of the configuration that leaders of rank groups need, by service.
 
-Entries read the whole configuration anyway; an agent's link carries a hundredth of an
-entry's. So entries write what leaders need of it into one small item a service, and
-agents find it among the items that they follow.
+Entries read the whole configuration anyway; an agent's link has a hundredth of the
+capacity of an entry's. Entries therefore write the part that leaders need to one small
+item per service, which agents receive with the other items that they watch.
 """
 
 import asyncio
@@ -21,27 +21,26 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.store import Item, StoreClient
 
-#: Entries that see to it that the figures are written, the first of all by their names:
-#: each of them reads the item once, and hundreds would.
+#: Number of entries that write the figures, the first ones by name. Each writer reads
+#: the item once, which would be hundreds of calls if all entries did so.
 WRITERS = 3
-#: Pause between one writer and the next, in which the first has written.
+#: Delay between two writers, long enough for the first one to have written.
 STAGGER_MS = 250
-#: How often another entry looks whether it has become one of them.
-PLACE_POLL_MS = 2_000
+#: Interval at which other entries check whether they have become writers.
+INDEX_POLL_INTERVAL_MS = 2_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineFigures:
-    """What the leaders of a service's rank groups need of the configuration.
+    """The part of the configuration that leaders of a service's rank groups need.
 
     Attributes
     ----------
     version : int
-        Of the configuration.
+        Version of the configuration.
     engine : Engine
     gap_ms : int
-        Shortest pause that the service's routes allow between two events; 0 when there
-        is none.
+        Shortest gap that the service's routes allow between two events; 0 if none does.
     """
 
     version: int
@@ -53,7 +52,7 @@
         return orjson.dumps(self)
 
     def agrees_with(self, other: "EngineFigures") -> bool:
-        """Return whether both say the same, be it of different versions."""
+        """Return whether both are equal except for their versions."""
         return (self.engine, self.gap_ms) == (other.engine, other.gap_ms)
 
 
@@ -81,53 +80,53 @@
 
 
 class FiguresWriter:
-    """One entry's part in keeping the figures in the store true.
+    """Keeps the figures in the store up to date.
 
     Parameters
     ----------
     store : StoreClient
-    place : callable
-        Returns this entry's place among all that live, by name; 0 is the first, None
-        while it isn't one of them.
+    index : callable
+        Returns this entry's index among all live entries, sorted by name, from 0; None
+        while it isn't registered.
     """
 
-    __slots__ = ("_due", "_place", "_store", "_unwritten", "_written")
+    __slots__ = ("_due", "_index", "_store", "_unwritten", "_written")
 
-    def __init__(self, store: "StoreClient", place: t.Callable[[], int | None]) -> None:
+    def __init__(self, store: "StoreClient", index: t.Callable[[], int | None]) -> None:
         self._store = store
-        self._place = place
+        self._index = index
         self._due = asyncio.Event()
         self._unwritten: dict[str, EngineFigures] = {}
-        #: What the store was seen to hold.
+        #: The figures that are known to be in the store.
         self._written: dict[str, EngineFigures] = {}
 
     def note_configuration(self, configuration: Configuration) -> None:
-        """Take in the configuration in force."""
-        fresh = extract_figures(configuration)
+        """Note the current configuration."""
+        current = extract_figures(configuration)
         self._unwritten = {
             service: figures
-            for service, figures in fresh.items()
+            for service, figures in current.items()
             if service not in self._written
             or not self._written[service].agrees_with(figures)
         }
         if self._unwritten:
             self._due.set()
 
-    def forget(self, configuration: Configuration | None) -> None:
-        """Look again at what the store holds: it came back from an older copy."""
+    def recheck(self, configuration: Configuration | None) -> None:
+        """Check the stored figures again: the store was restored from an older copy."""
         self._written.clear()
         if configuration is not None:
             self.note_configuration(configuration)
 
     async def run(self) -> None:
-        """Write what the store lacks, for ever."""
+        """Write missing and outdated figures until cancelled."""
         while True:
             await self._due.wait()
-            place = self._place()
-            if place is None or place >= WRITERS:
-                await asyncio.sleep(PLACE_POLL_MS / 1000)
+            index = self._index()
+            if index is None or index >= WRITERS:
+                await asyncio.sleep(INDEX_POLL_INTERVAL_MS / 1000)
                 continue
-            await asyncio.sleep(place * STAGGER_MS / 1000)
+            await asyncio.sleep(index * STAGGER_MS / 1000)
             try:
                 await self._write_all()
             except (ConflictError, PlatformError) as fault:
@@ -144,12 +143,12 @@
         self._due.clear()
 
     async def _write(self, service: str, figures: EngineFigures) -> None:
-        """Write a service's figures, unless the store has them or newer ones."""
+        """Write a service's figures, unless the store has the same or newer ones."""
         key = ENGINES_PREFIX + service
         item = await self._store.get(key)
-        known = _read(service, item)
-        if known is not None:
-            if known.agrees_with(figures) or known.version > figures.version:
+        stored = _read(service, item)
+        if stored is not None:
+            if stored.agrees_with(figures) or stored.version > figures.version:
                 return
         revision = 0 if item is None else item.revision
         await self._store.put(key, figures.encode(), expected=revision)
--- a/packages/gateway/src/fuchsiahatch_gateway/entry.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry.py
@@ -1,4 +1,4 @@
-"""The entry: takes callers' requests and sends them to upstreams."""
+"""The entry: accepts callers' requests and sends them to upstreams."""
 
 import asyncio
 import random
@@ -40,7 +40,7 @@
 from fuchsiahatch_gateway.engine_figures import FiguresWriter
 from fuchsiahatch_gateway.entry_announcer import EntryAnnouncer
 from fuchsiahatch_gateway.entry_gauges import add_gauges
-from fuchsiahatch_gateway.entry_liveness import BEAT_MS, EntryLiveness
+from fuchsiahatch_gateway.entry_liveness import HEARTBEAT_INTERVAL_MS, EntryLiveness
 from fuchsiahatch_gateway.fleet import FIRST_REPORT_MS, Fleet
 from fuchsiahatch_gateway.following import Follower
 from fuchsiahatch_gateway.held_requests import HeldRequests
@@ -73,31 +73,31 @@
     from fuchsiahatch_gateway.process import Process
     from fuchsiahatch_http1.client import Head
 
-#: What an entry follows: little else is in the store.
-ALL_ITEMS = ""
-#: Time that a connection to an upstream may take; usual are some 3 ms. A dark host
-#: answers nothing, and its request goes to another upstream.
-CONNECT_MS = 300
-#: How often a starting entry looks whether it knows enough to serve.
-INFORMED_POLL_MS = 10
-#: Time behind the start for which callers wait for an entry that isn't informed yet:
-#: together with the 0.2 s of loading before it, less than the second in which a caller
-#: leaves what isn't read. Whoever is refused meanwhile has one try left.
-EARLY_LIMIT_MS = 700
-#: How often an entry looks whether agents are to be told of it.
-ANNOUNCE_POLL_MS = 100
-#: How often a stopping entry looks whether it is idle.
-IDLE_POLL_MS = 50
+#: Prefix that an entry watches: the store holds little besides what an entry needs.
+WATCHED_PREFIX = ""
+#: Usual connections take some 3 ms. An unreachable host doesn't answer at all, and its
+#: request is sent to another upstream.
+CONNECT_TIMEOUT_MS = 300
+#: Interval at which a starting entry checks whether it can serve.
+SYNC_POLL_INTERVAL_MS = 10
+#: Time after the start for which callers wait for an entry that isn't synced yet.
+#: Together with the 0.2 s of loading before it, this is less than the second after
+#: which a caller gives up on an unread request. A caller that is refused has one
+#: attempt left.
+EARLY_WAIT_TIMEOUT_MS = 700
+#: Interval at which an entry checks whether announcements to agents are due.
+ANNOUNCE_POLL_INTERVAL_MS = 100
+IDLE_POLL_INTERVAL_MS = 50
 
 
 class Entry:
-    """One entry, wired once.
+    """One entry process: creates and connects its parts.
 
     Parameters
     ----------
     process : Process
     listening : socket.socket, optional
-        The callers' socket, if it listens already.
+        The callers' socket, if it is already listening.
     """
 
     def __init__(
@@ -105,10 +105,10 @@
     ) -> None:
         settings, clock = process.settings, process.clock
         self._process = process
-        self._early = listening
+        self._early_socket = listening
         self._began_ms = clock.now_ms()
         self._liveness = EntryLiveness(settings.node)
-        self.datagrams = DatagramPort(self._take_message)
+        self.datagrams = DatagramPort(self._handle_message)
         self._clock = clock
         self._rng = random.Random()
         self._leaving = False
@@ -116,7 +116,7 @@
         self._entries: dict[str, EntryRecord] = {}
         self.records = ItemDecoder(decode_entry)
         self.routes = RouteTable()
-        self.pool = ConnectionPool(clock, CONNECT_MS)
+        self.pool = ConnectionPool(clock, CONNECT_TIMEOUT_MS)
         self.store = StoreClient(settings.store, ConnectionPool(clock))
         self.health = StoreHealth()
         self.fleet = Fleet(settings.zone, clock, self._rng)
@@ -136,7 +136,7 @@
             clock,
             self.fleet.upstreams.get,
         )
-        self.rates = StatedRates(clock, self._tell_others)
+        self.rates = StatedRates(clock, self._notify_peers)
         self.placer = Placer(self.fleet, clock, self.permits.ask)
         bounds = settings.bounds
         self.budget = RetryBudget(
@@ -147,7 +147,7 @@
             lambda: len(self._entries.keys() | {settings.node}),
             settings.first_start,
         )
-        self.crashing = CrashingRequests(clock, self._tell_others)
+        self.crashing = CrashingRequests(clock, self._notify_peers)
         self.crashes = UpstreamCrashes(
             self.crashing,
             self.pool.is_refused,
@@ -155,8 +155,8 @@
             clock,
         )
         self.fleet.on_restarted = self.crashes.note_restart
-        self.late = LateUpstreams(clock, self.fleet.upstreams, self._tell_others)
-        self.held = HeldRequests(self.store, self.crashing, self._place)
+        self.late = LateUpstreams(clock, self.fleet.upstreams, self._notify_peers)
+        self.held = HeldRequests(self.store, self.crashing, self._index)
         self.delivery = Delivery(
             self.routes,
             self.placer,
@@ -183,34 +183,41 @@
             self.health,
             clock,
         )
-        self.figures = FiguresWriter(self.store, self._place)
+        self.figures = FiguresWriter(self.store, self._index)
         self.callers = HttpServer(self.delivery.handle)
         self.side_calls = HttpServer(self._answer_side_call)
         self.store.on_restored = self._note_restored
-        self._takers: dict[type, t.Callable[[t.Any, Peer], None]] = {
-            LoadReport: self._take_load,
-            EntryHeartbeat: self._take_beat,
+        self._handlers: dict[type, t.Callable[[t.Any, Peer], None]] = {
+            LoadReport: self._handle_load,
+            EntryHeartbeat: self._handle_heartbeat,
             PermitRequest: self.permits.take_request,
             PermitReply: lambda reply, peer: self.permits.take_reply(reply),
-            RateNotice: self._take_rate,
-            CrashNotice: self._take_crash,
+            RateNotice: self._handle_rate,
+            CrashNotice: self._handle_crash,
             Clearance: lambda notice, peer: self.crashing.take_clearance(notice),
             LateNotice: lambda notice, peer: self.late.take(notice),
         }
-        self._config = self._copy(CONFIGURATION_KEY, self._apply_configuration)
-        self._upstreams = self._copy(UPSTREAMS_PREFIX, self._apply_upstreams)
-        self._others = self._copy(ENTRIES_PREFIX, self._apply_entries)
+        self._configuration_items = self._copy(
+            CONFIGURATION_KEY, self._apply_configuration
+        )
+        self._upstream_items = self._copy(UPSTREAMS_PREFIX, self._apply_upstreams)
+        self._entry_items = self._copy(ENTRIES_PREFIX, self._apply_entries)
         self._held_items = self._copy(HELD_PREFIX, self._apply_held)
         self.follower = Follower(
             self.store,
-            ALL_ITEMS,
+            WATCHED_PREFIX,
             self.health,
             clock,
-            (self._config, self._upstreams, self._others, self._held_items),
+            (
+                self._configuration_items,
+                self._upstream_items,
+                self._entry_items,
+                self._held_items,
+            ),
         )
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish what is open."""
+        """Serve until SIGTERM, then finish open requests."""
         process, settings = self._process, self._process.settings
         process.keep_running(self.follower.run())
         process.keep_running(self.figures.run())
@@ -224,11 +231,11 @@
         for address in (settings.ready, settings.lookup):
             if address is not None:
                 await self.side_calls.listen(address.ip, address.port)
-        # Callers come once there is something to send them on by.
+        # Callers are accepted once routes and upstreams are known.
         await self._wait_until_synced()
         await self._accept_callers()
-        process.keep_running(self._beat_for_ever())
-        # Whoever waits for the first load reports waits no longer than that.
+        process.keep_running(self._send_heartbeats_for_ever())
+        # Requests wait for the first load reports no longer than this.
         reactor.callLater(FIRST_REPORT_MS / 1000, self.placer.serve_waiting)
         process.keep_running(self.registration.run())
         await process.stopping.wait()
@@ -236,70 +243,70 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers may come."""
+        """Whether callers may connect."""
         return self._listening and not self._leaving
 
     @property
     def synced(self) -> bool:
-        """Whether the configuration, the upstreams and what is held are known."""
+        """Whether the configuration, upstreams and held requests have been read."""
         return self.routes.configuration is not None and self.follower.synced
 
     async def _wait_until_synced(self) -> None:
         while not self.synced and not self._process.stopping.is_set():
-            if self._clock.now_ms() - self._began_ms > EARLY_LIMIT_MS:
-                self._close_early()
-            await asyncio.sleep(INFORMED_POLL_MS / 1000)
+            if self._clock.now_ms() - self._began_ms > EARLY_WAIT_TIMEOUT_MS:
+                self._close_early_socket()
+            await asyncio.sleep(SYNC_POLL_INTERVAL_MS / 1000)
 
-    def _close_early(self) -> None:
-        """Let callers go elsewhere: it will be long before they are answered here."""
-        if self._early is not None:
-            log_event(Event.SOCKET_CLOSED_EARLY, waited_ms=EARLY_LIMIT_MS)
-            self._early.close()
-            self._early = None
+    def _close_early_socket(self) -> None:
+        """Close the early socket, so that callers connect to other entries."""
+        if self._early_socket is not None:
+            log_event(Event.SOCKET_CLOSED_EARLY, waited_ms=EARLY_WAIT_TIMEOUT_MS)
+            self._early_socket.close()
+            self._early_socket = None
 
     async def _accept_callers(self) -> None:
         address = self._process.settings.callers
         assert address is not None
-        if self._early is None:
+        if self._early_socket is None:
             await self.callers.listen(address.ip, address.port)
         else:
-            self.callers.adopt(self._early)
-            self._early = None
+            self.callers.adopt(self._early_socket)
+            self._early_socket = None
         self._listening = True
 
     async def _announce_for_ever(self) -> None:
         while not self._leaving:
             self.announcer.announce()
-            await asyncio.sleep(ANNOUNCE_POLL_MS / 1000)
+            await asyncio.sleep(ANNOUNCE_POLL_INTERVAL_MS / 1000)
 
-    async def _beat_for_ever(self) -> None:
-        """Tell other entries of this one while the store can't."""
+    async def _send_heartbeats_for_ever(self) -> None:
+        """Send heartbeats to other entries while the store is down."""
         while True:
-            await asyncio.sleep(BEAT_MS / 1000)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_MS / 1000)
             self._liveness.note_store(self.health.answers, self._clock.now_ms())
             if not self.health.answers and self.ready:
-                self._send_beats(serving=True)
+                self._send_heartbeats(serving=True)
 
-    def _send_beats(self, serving: bool) -> None:
-        beat = EntryHeartbeat(self._process.settings.node, serving)
+    def _send_heartbeats(self, serving: bool) -> None:
+        heartbeat = EntryHeartbeat(self._process.settings.node, serving)
         for peer in self._liveness.peers(self._entries):
-            self.datagrams.send(beat, peer)
+            self.datagrams.send(heartbeat, peer)
 
     async def _leave(self) -> None:
-        """Tell callers to use others, finish what is open, and end in time."""
+        """Turn callers away, finish open requests, and end within the grace period."""
         log_event(Event.STOPPING, busy=self.callers.busy)
         began_ms = self._clock.now_ms()
         grace_ms = self._process.settings.bounds.stop_grace_ms - GRACE_RESERVE_MS
         self._leaving = True
         self.callers.leave()
-        self._send_beats(serving=False)
+        self._send_heartbeats(serving=False)
         self._process.keep_running(self.registration.withdraw())
         while self._clock.now_ms() - began_ms < grace_ms:
             if self._clock.now_ms() - began_ms >= LINGER_MS:
                 await self.callers.stop_accepting()
                 if not self.callers.busy:
                     break
-            await asyncio.sleep(IDLE_POLL_MS / 1000)
+            await asyncio.sleep(IDLE_POLL_INTERVAL_MS / 1000)
         log_event(Event.STOPPED, busy=self.callers.busy)
 
     async def _answer_side_call(self, exchange: Exchange) -> None:
@@ -310,9 +317,9 @@
         if zone is None:
             exchange.respond(404)
             return
-        others = self._liveness.present(self._entries, self._clock.now_ms())
-        own = self.record if self.ready else None
-        addresses = choose_addresses(others, own, zone)
+        peers = self._liveness.present(self._entries, self._clock.now_ms())
+        local = self.record if self.ready else None
+        addresses = choose_addresses(peers, local, zone)
         if not addresses:
             exchange.respond(503)
             return
@@ -323,83 +330,83 @@
         return ItemCopy(prefix, self.health, self._clock, apply)
 
     def _note_restored(self) -> None:
-        """Write and read anew what the store has forgotten."""
+        """Write and read again what the restored store has lost."""
         self.health.note_restored(self._clock.now_ms())
-        self.figures.forget(self.routes.configuration)
+        self.figures.recheck(self.routes.configuration)
 
     def _apply_configuration(self) -> None:
-        item = self._config.items.get("")
+        item = self._configuration_items.items.get("")
         if (
             item is None
             or item.value is None
             or not self.routes.apply(item.value, item.era)
         ):
             return
-        known = self.routes.configuration
-        assert known is not None
-        self.figures.note_configuration(known)
+        configuration = self.routes.configuration
+        assert configuration is not None
+        self.figures.note_configuration(configuration)
         limits = self.callers.limits
-        limits.header_bytes = known.limits.header_bytes
-        limits.body_bytes = known.limits.body_bytes
-        limits.header_ms = known.limits.header_ms
-        limits.idle_ms = known.limits.idle_ms
+        limits.header_bytes = configuration.limits.header_bytes
+        limits.body_bytes = configuration.limits.body_bytes
+        limits.header_ms = configuration.limits.header_ms
+        limits.idle_ms = configuration.limits.idle_ms
 
     def _apply_upstreams(self) -> None:
-        self.fleet.apply(self._upstreams.items)
+        self.fleet.apply(self._upstream_items.items)
         self.placer.serve_waiting()
 
     def _apply_entries(self) -> None:
-        fresh = self.records.decode_all(self._others.items)
-        if fresh.keys() != self._entries.keys():
-            log_event(Event.ENTRIES_CHANGED, entries=sorted(fresh))
-        self._entries = fresh
+        entries = self.records.decode_all(self._entry_items.items)
+        if entries.keys() != self._entries.keys():
+            log_event(Event.ENTRIES_CHANGED, entries=sorted(entries))
+        self._entries = entries
 
     def _apply_held(self) -> None:
         self.held.apply(self._held_items.items)
 
-    def _take_message(self, message: Message, peer: Peer) -> None:
-        take = self._takers.get(type(message))
-        if take is not None:
-            take(message, peer)
+    def _handle_message(self, message: Message, peer: Peer) -> None:
+        handle = self._handlers.get(type(message))
+        if handle is not None:
+            handle(message, peer)
 
-    def _take_load(self, load: LoadReport, peer: Peer) -> None:
+    def _handle_load(self, load: LoadReport, peer: Peer) -> None:
         self.fleet.observe(load)
         self.placer.serve_waiting()
 
-    def _take_beat(self, beat: EntryHeartbeat, peer: Peer) -> None:
-        answers = self._liveness.receive(beat, self._clock.now_ms())
-        if answers and self.ready:
-            own = EntryHeartbeat(self._process.settings.node, True)
-            self.datagrams.send(own, peer)
+    def _handle_heartbeat(self, heartbeat: EntryHeartbeat, peer: Peer) -> None:
+        is_answer_due = self._liveness.receive(heartbeat, self._clock.now_ms())
+        if is_answer_due and self.ready:
+            answer = EntryHeartbeat(self._process.settings.node, True)
+            self.datagrams.send(answer, peer)
 
-    def _take_rate(self, notice: RateNotice, peer: Peer) -> None:
+    def _handle_rate(self, notice: RateNotice, peer: Peer) -> None:
         upstream = self.fleet.upstreams.get(notice.upstream)
         if upstream is not None:
             self.rates.note_notice(upstream, notice)
 
-    def _take_crash(self, notice: CrashNotice, peer: Peer) -> None:
+    def _handle_crash(self, notice: CrashNotice, peer: Peer) -> None:
         answer = self.crashing.take_notice(notice)
         if answer is not None:
             self.datagrams.send(answer, peer)
 
-    def _place(self) -> int | None:
-        """Return this entry's place among all that live, or None before it is one."""
-        own = self._process.settings.node
-        if own not in self._entries:
+    def _index(self) -> int | None:
+        """Return this entry's index among all live entries, None if not registered."""
+        local = self._process.settings.node
+        if local not in self._entries:
             return None
-        return sum(node < own for node in self._entries)
+        return sum(node < local for node in self._entries)
 
     def _present_entries(self) -> dict[str, EntryRecord]:
-        """Return the registered entries, less those that have left or are silent."""
-        others = self._liveness.present(self._entries, self._clock.now_ms())
-        present = {one.node: one for one in others}
-        own = self._process.settings.node
-        return present | {own: self.record} if own in self._entries else present
+        """Return the registered entries, except those that have left or are silent."""
+        peers = self._liveness.present(self._entries, self._clock.now_ms())
+        present = {peer.node: peer for peer in peers}
+        local = self._process.settings.node
+        return present | {local: self.record} if local in self._entries else present
 
     def _note_head(self, upstream: "Upstream", head: "Head") -> None:
         self.rates.note_answer(upstream, head.header(RATE_LIMIT))
 
-    def _tell_others(
+    def _notify_peers(
         self, notice: RateNotice | CrashNotice | Clearance | LateNotice
     ) -> None:
         for peer in self._liveness.peers(self._entries):
--- a/tests/gateway/sites.py
+++ b/tests/gateway/sites.py
@@ -1,4 +1,4 @@
-"""One entry in this process, with scripted upstreams and the store's stand-in."""
+"""An entry in the test process, with scripted upstreams and a stand-in store."""
 
 import asyncio
 import json
@@ -55,7 +55,7 @@
 
 
 def make_settings(store_port, **changes):
-    own = {
+    local = {
         "node": "front-1",
         "role": "entry",
         "ip": "127.0.0.1",
@@ -63,7 +63,7 @@
         "internalPorts": [0, 0],
     }
     return decode_node_settings(
-        platform_demo.make_settings(store_port, **{**own, **changes})
+        platform_demo.make_settings(store_port, **{**local, **changes})
     )
 
 
@@ -122,11 +122,11 @@
         if holds():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("it did not come about in time")
+    raise AssertionError("condition did not hold in time")
 
 
 class Reply:
-    """What a caller got; `whole` tells whether the answer had its end."""
+    """A response as the caller received it; `whole` is False for a truncated one."""
 
     def __init__(self, data):
         head, _, rest = data.partition(b"\r\n\r\n")
@@ -169,7 +169,7 @@
 
 
 async def ask(port, path, **options):
-    """Send one request and return the whole reply, up to the connection's end."""
+    """Send one request and return all that is received until the connection ends."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(encode_request(path, **options))
     try:
@@ -228,7 +228,7 @@
     return json.dumps(value).encode()
 
 
-#: How the engines of a rank group work.
+#: The engine parameters of a rank group.
 ENGINE = (
     decode_configuration(
         dump(
--- a/tests/gateway/test_engine_figures.py
+++ b/tests/gateway/test_engine_figures.py
@@ -29,22 +29,22 @@
 from tests.loopback import run
 
 ENTRY_IP = "127.0.8.9"
-#: A link of 4 Mbit/s, of which nothing else takes any.
+#: A link of 4 Mbit/s without other traffic.
 LINK_BYTES_PER_S = 500_000
-#: Routes of a configuration that takes over a second of that link.
+#: Routes of a configuration that takes more than a second on that link.
 GROWN_ROUTES = [make_route(f"/grown-{number}/", "safe") for number in range(1_700)]
-#: Time in which a group must follow its demand: what is read at a start, an election,
-#: and a change of map, at some seconds each.
+#: Time in which a group must follow its demand: the reads at its start, an election and
+#: a change of map take some seconds each.
 FOLLOW_S = 12.0
 
 
 class GrownSite(Group):
-    """Three agents and one entry, behind a configuration of 1,700 routes."""
+    """Three agents and one entry, with a configuration of 1,700 routes."""
 
     async def __aenter__(self):
         await super().__aenter__()
         await self.kill_agents()
-        # Nobody but the entry has told of the engines.
+        # Only the entry writes the figures of the engines.
         self.store.remove(ENGINES_PREFIX + "svc")
         document = self.configuration()
         document["version"] = 2
@@ -85,18 +85,17 @@
 
 
 class TestGrownConfiguration(unittest.TestCase):
-    """Groups keep their first map for good behind a kill of all processes.
-
-    Users see a fifth of the usual replies in time, from the kill until the next day. An
-    operator has added over a thousand routes; all agents start anew and one of them
-    leads. It needs a dozen figures of its engines, and reads the whole configuration
-    for them: half a megabyte over a link of 4 Mbit/s, in a call of 0.8 s at most, begun
-    anew for ever. Nothing is planned meanwhile. Evidence: both leaders' reads of that
-    one key were given up each 1.8 s until the end, and on days on which the
-    configuration had not grown groups recovered within eight seconds.
+    """Guards against groups that never change their first map after a restart.
+
+    If a leader reads the whole configuration for a dozen figures of its engines, the
+    read of half a megabyte over a link of 4 Mbit/s exceeds the call's timeout of 0.8 s.
+    It was aborted and repeated every 1.8 s, and nothing was planned meanwhile: after a
+    kill of all processes, a fifth of the usual replies came in time until the next day.
+    The configuration had over a thousand added routes; with a smaller one, groups
+    recovered within eight seconds.
     """
 
-    def test_a_group_that_starts_behind_it_follows_its_demand(self):
+    def test_a_group_that_starts_with_it_follows_its_demand(self):
         async def follow():
             async with GrownSite(31) as site:
                 site.store.faults.bytes_per_s = LINK_BYTES_PER_S
@@ -109,12 +108,12 @@
 
 
 class Writers:
-    """Some writers of one service's figures, and what they call."""
+    """Writers of one service's figures and the store that they call."""
 
-    def __init__(self, served, places):
+    def __init__(self, served, indexes):
         self.served = served
         self.writers = [
-            FiguresWriter(served.client, lambda place=place: place) for place in places
+            FiguresWriter(served.client, lambda index=index: index) for index in indexes
         ]
 
     async def note(self, version, engine=ENGINE, for_s=1.2):
@@ -136,18 +135,18 @@
 
 
 class TestFiguresWriter(unittest.TestCase):
-    def play(self, work, places):
+    def play(self, work, indexes):
         async def play():
             async with Served() as served:
-                writers = Writers(served, places)
+                writers = Writers(served, indexes)
                 await work(writers)
                 return writers.stored(), served.store.calls
 
         return run(play())
 
     def test_a_hundred_entries_make_a_few_calls(self):
-        # Each of hundreds of entries reads and writes the item at the same moment.
-        stored, calls = self.play(lambda one: one.note(3), range(100))
+        # Guards against hundreds of entries that read and write the item at once.
+        stored, calls = self.play(lambda writers: writers.note(3), range(100))
         self.assertEqual(stored.engine, ENGINE)
         self.assertLessEqual(len(calls), WRITERS + 1)
 
@@ -160,8 +159,8 @@
         self.assertEqual(stored.version, 3)
         self.assertEqual(len(calls), 2)
 
-    def test_an_older_configuration_takes_nothing_back(self):
-        # An entry that is cut off from the operator's changes comes back first.
+    def test_an_older_configuration_does_not_replace_a_newer_one(self):
+        # An entry that missed the operator's latest change may be the first to write.
         newer = EngineFigures(9, dataclasses.replace(ENGINE, places=9), 150)
 
         async def change(writers):
@@ -172,7 +171,7 @@
         stored, _ = self.play(change, [0])
         self.assertEqual(stored, newer)
 
-    def test_what_cannot_be_read_is_written_anew(self):
+    def test_unreadable_figures_are_replaced(self):
         async def change(writers):
             writers.served.store.put(ENGINES_PREFIX + "svc", b"[]")
             await writers.note(4, for_s=0.1)
@@ -180,8 +179,8 @@
         stored, _ = self.play(change, [0])
         self.assertEqual(stored.version, 4)
 
-    def test_the_next_writers_write_where_the_first_is_gone(self):
-        stored, _ = self.play(lambda one: one.note(3), [None, 1, 2])
+    def test_the_next_writers_write_if_the_first_is_missing(self):
+        stored, _ = self.play(lambda writers: writers.note(3), [None, 1, 2])
         self.assertEqual(stored.version, 3)
 
     def test_services_without_engines_have_no_figures(self):
--- a/tests/gateway/test_entry_liveness.py
+++ b/tests/gateway/test_entry_liveness.py
@@ -11,47 +11,51 @@
 }
 
 
-class TestEntryBeats(unittest.TestCase):
+class TestEntryLiveness(unittest.TestCase):
     def setUp(self):
-        self.beats = EntryLiveness("own")
+        self.liveness = EntryLiveness("own")
 
     def present(self, now_ms):
-        return [one.node for one in self.beats.present(ENTRIES, now_ms)]
+        return [entry.node for entry in self.liveness.present(ENTRIES, now_ms)]
 
-    def test_all_that_are_registered_while_the_store_answers(self):
-        self.beats.note_store(True, 0)
+    def test_all_registered_while_the_store_answers(self):
+        self.liveness.note_store(True, 0)
         self.assertEqual(self.present(60_000), ["e-1", "e-2"])
-        self.assertEqual(len(self.beats.peers(ENTRIES)), 2)
+        self.assertEqual(len(self.liveness.peers(ENTRIES)), 2)
 
-    def test_one_that_is_silent_while_the_store_is_away(self):
-        # Callers of one zone fail for two seconds: both of its entries were restarted
-        # in an outage of the store, and lookups went on to name them.
-        self.beats.note_store(False, 1_000)
+    def test_silent_entries_are_excluded_during_an_outage(self):
+        # Guards against lookups that name stopped entries: both entries of a zone were
+        # restarted during an outage of the store, lookups still named them, and the
+        # zone's callers failed for two seconds.
+        self.liveness.note_store(False, 1_000)
         self.assertEqual(self.present(1_500), ["e-1", "e-2"])
-        self.beats.receive(EntryHeartbeat("e-2", True), 2_000)
+        self.liveness.receive(EntryHeartbeat("e-2", True), 2_000)
         self.assertEqual(self.present(2_100), ["e-2"])
-        self.beats.note_store(True, 2_200)
+        self.liveness.note_store(True, 2_200)
         self.assertEqual(self.present(2_300), ["e-1", "e-2"])
 
-    def test_all_where_nobody_is_heard(self):
-        self.beats.note_store(False, 0)
+    def test_all_if_no_heartbeat_arrives(self):
+        self.liveness.note_store(False, 0)
         self.assertEqual(self.present(9_000), ["e-1", "e-2"])
 
-    def test_one_that_leaves_is_left_out_at_once(self):
-        # A caller comes to an entry that stops: the store learnt of it first, and
-        # lookups named it until the watch had told the others.
-        self.beats.receive(EntryHeartbeat("e-1", False), 100)
+    def test_a_leaving_entry_is_excluded_at_once(self):
+        # Guards against callers that connect to a stopping entry: without its
+        # heartbeat, lookups name it until the watch of the store reports that it has
+        # left.
+        self.liveness.receive(EntryHeartbeat("e-1", False), 100)
         self.assertEqual(self.present(101), ["e-2"])
-        self.beats.receive(EntryHeartbeat("e-1", True), 200)
+        self.liveness.receive(EntryHeartbeat("e-1", True), 200)
         self.assertEqual(self.present(201), ["e-1", "e-2"])
-        self.beats.receive(EntryHeartbeat("e-1", False), 300)
-        self.assertEqual(self.present(300 + entry_liveness.LEFT_MS), ["e-1", "e-2"])
-
-    def test_a_heartbeat_is_answered_once_in_its_pause(self):
-        # An entry that the store turns away hears nobody, and takes all others for
-        # gone: the store serves them, and they have no reason to speak.
-        beat = EntryHeartbeat("e-1", True)
-        self.assertTrue(self.beats.receive(beat, 0))
-        self.assertFalse(self.beats.receive(beat, 10))
-        self.assertTrue(self.beats.receive(beat, entry_liveness.BEAT_MS))
-        self.assertFalse(self.beats.receive(EntryHeartbeat("e-2", False), 20))
+        self.liveness.receive(EntryHeartbeat("e-1", False), 300)
+        self.assertEqual(self.present(300 + entry_liveness.DEPARTED_MS), ["e-1", "e-2"])
+
+    def test_heartbeats_are_answered_once_per_interval(self):
+        # Guards against an entry that considers all others unreachable: the store
+        # refuses only this one, so that the others send no heartbeats by themselves.
+        heartbeat = EntryHeartbeat("e-1", True)
+        self.assertTrue(self.liveness.receive(heartbeat, 0))
+        self.assertFalse(self.liveness.receive(heartbeat, 10))
+        self.assertTrue(
+            self.liveness.receive(heartbeat, entry_liveness.HEARTBEAT_INTERVAL_MS)
+        )
+        self.assertFalse(self.liveness.receive(EntryHeartbeat("e-2", False), 20))
