--- a/packages/gateway/src/fuchsiahatch_gateway/settled_era.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/settled_era.py
@@ -1,4 +1,4 @@
-"""Whether the store's present era has lasted for as long as a leader's lease."""
+"""Whether the store's current era has lasted for at least a leader's lease."""
 
 import typing as t
 
@@ -17,13 +17,13 @@
 
 
 class SettledEra:
-    """Tells whether a leader of an earlier era may still believe in its lease.
+    """Determines whether a leader of an earlier era may still rely on its lease.
 
-    A store that comes back from an older copy has forgotten that lease, and whoever
-    held it may not have heard. Once the era has lasted for as long as a lease, it has
-    ended by its holder's own clock. A process sees that by waiting; one that has just
-    started is told by an item that names the era, written by a process that waited. An
-    older copy of the store names an earlier era there, or none.
+    A store that was restored from an older copy has lost that lease, and its holder may
+    not know. Once the era has lasted for as long as a lease, the lease has expired by
+    its holder's own clock. A process can wait for that; one that has just started reads
+    it from an item that names the era, written by a process that has waited. In an
+    older copy of the store, that item names an earlier era or is missing.
 
     Parameters
     ----------
@@ -31,47 +31,54 @@
     clock : Clock
     """
 
-    __slots__ = ("_clock", "_era", "_next_ms", "_seen_ms", "_store", "_told")
+    __slots__ = (
+        "_clock",
+        "_era",
+        "_next_write_ms",
+        "_seen_ms",
+        "_store",
+        "_stored_era",
+    )
 
     def __init__(self, store: "StoreClient", clock: "Clock") -> None:
         self._store = store
         self._clock = clock
         self._era = store.era
         self._seen_ms = clock.now_ms()
-        self._next_ms = 0
-        self._told = 0
+        self._next_write_ms = 0
+        self._stored_era = 0
 
     def check(self) -> None:
-        """Note when the present era was first seen: now, if it is another one."""
+        """Check for a new era, and note when it was first seen."""
         if self._store.era != self._era:
             self._era = self._store.era
             self._seen_ms = self._clock.now_ms()
 
     @property
-    def seen(self) -> bool:
-        """Whether this process itself has seen the era last so long."""
+    def locally_settled(self) -> bool:
+        """Whether this process itself has seen the era last that long."""
         self.check()
         return self._clock.now_ms() - self._seen_ms >= LEADER_TTL_MS
 
     @property
     def settled(self) -> bool:
-        """Whether the era has lasted so long, by its own sight or another's word.
+        """Whether the era has lasted that long, as seen here or by another process.
 
-        A store whose answers name no era is none that comes back from copies.
+        A store whose answers name no era is never restored from copies.
         """
         era = self._store.era
-        return not era or era == self._told or self.seen
+        return not era or era == self._stored_era or self.locally_settled
 
     @property
     def needs_write(self) -> bool:
-        """Whether the store should say so and doesn't, and it is time to write."""
+        """Whether the stored item is missing or stale and may be written now."""
         era = self._store.era
-        if not era or era == self._told or not self.seen:
+        if not era or era == self._stored_era or not self.locally_settled:
             return False
-        return self._clock.now_ms() >= self._next_ms
+        return self._clock.now_ms() >= self._next_write_ms
 
     def receive(self, item: "Item | None") -> None:
-        """Take in what the store's item says, as it was read in an era."""
+        """Receive the stored item, with the era in which it was read."""
         if item is None or item.value is None:
             return
         try:
@@ -79,13 +86,13 @@
         except FormError as fault:
             log_event(Event.ITEM_UNREADABLE, item=item.key, detail=fault.detail)
             return
-        # That of an older copy speaks of an era that is over.
-        self._told = era if era == item.era else 0
+        # An item from an older copy names an era that has ended.
+        self._stored_era = era if era == item.era else 0
 
     async def write(self) -> None:
-        """Tell processes that start later."""
+        """Store the era for processes that start later."""
         era = self._store.era
-        self._next_ms = self._clock.now_ms() + STORE_RECOVERY_TIMEOUT_MS
+        self._next_write_ms = self._clock.now_ms() + STORE_RECOVERY_TIMEOUT_MS
         try:
             await self._store.put(SETTLED_ERA_KEY, b"%d" % era)
         except PlatformError as fault:
--- a/tests/gateway/test_settled_era.py
+++ b/tests/gateway/test_settled_era.py
@@ -13,7 +13,7 @@
 from tests.gateway.test_agents import EXPERTS, Group
 from tests.loopback import run
 
-#: Groups of one test run; more by hand.
+#: Range of the groups' seeds; `SETTLED_SEEDS` sets a longer one for manual runs.
 SEEDS = range(*map(int, os.environ.get("SETTLED_SEEDS", "71-73").split("-")))
 
 
@@ -30,31 +30,32 @@
     async def read(self, served):
         return await served.client.get(SETTLED_ERA_KEY)
 
-    def test_it_is_seen_by_waiting_and_told_to_who_starts(self):
+    def test_it_settles_by_waiting_and_is_stored_for_new_processes(self):
         async def work(served, era):
             self.assertFalse(era.settled or era.needs_write)
             self.clock.advance(LEADER_TTL_MS)
             self.assertTrue(era.settled and era.needs_write)
             await era.write()
-            fresh = SettledEra(served.client, self.clock)
-            fresh.receive(await self.read(served))
-            self.assertTrue(fresh.settled)
-            self.assertFalse(fresh.seen or fresh.needs_write)
+            started = SettledEra(served.client, self.clock)
+            started.receive(await self.read(served))
+            self.assertTrue(started.settled)
+            self.assertFalse(started.locally_settled or started.needs_write)
             era.receive(await self.read(served))
             self.assertFalse(era.needs_write)
 
         self.play(work)
 
-    def test_what_a_copy_says_counts_for_nothing(self):
-        # Two leaders speak with engines: the item came back with the older copy.
+    def test_an_item_from_an_older_copy_is_ignored(self):
+        # Guards against two leaders that give orders to engines, because the item was
+        # restored with the older copy.
         async def work(served, era):
             self.clock.advance(LEADER_TTL_MS)
             await era.write()
             copy = served.store.copy()
             await served.restore(copy)
-            fresh = SettledEra(served.client, self.clock)
-            fresh.receive(await self.read(served))
-            self.assertFalse(fresh.settled)
+            started = SettledEra(served.client, self.clock)
+            started.receive(await self.read(served))
+            self.assertFalse(started.settled)
             era.receive(await self.read(served))
             self.assertFalse(era.settled)
             self.clock.advance(LEADER_TTL_MS)
@@ -62,7 +63,7 @@
 
         self.play(work)
 
-    def test_what_was_read_before_a_return_counts_for_nothing_behind_it(self):
+    def test_an_item_read_before_a_restore_is_ignored_after_it(self):
         async def work(served, era):
             era.receive(Item(SETTLED_ERA_KEY, b"1", 5, 5, 1))
             self.assertTrue(era.settled)
@@ -74,25 +75,26 @@
 
         self.play(work)
 
-    def test_a_store_that_names_no_era_is_not_waited_for(self):
-        # Each kill of all processes cost its callers 1.5 s more, for a drill that this
-        # store never has.
+    def test_a_store_that_names_no_era_needs_no_wait(self):
+        # Guards against a wait for the end of leases with a store that is never
+        # restored: it delayed callers by another 1.5 s after each kill of all
+        # processes.
         async def play():
             async with Served() as served:
                 served.store.era = None
                 clock = ManualClock(1_000)
                 leadership = Leadership(served.client, "side-1", ("10.0.0.1", 1), clock)
                 won = await leadership.try_win("g", 0, None)
-                lacking = leadership.settled_era.needs_write
+                needs_write = leadership.settled_era.needs_write
                 clock.advance(1)
                 alone = leadership.alone
                 served.store.era = 1
                 await served.client.ping()
-                return won, lacking, alone, leadership.alone
+                return won, needs_write, alone, leadership.alone
 
         self.assertEqual(run(play()), (True, False, True, False))
 
-    def test_what_cannot_be_read_or_is_gone_changes_nothing(self):
+    def test_unreadable_or_missing_items_change_nothing(self):
         async def work(served, era):
             for value in (b"{broken", b'"1"', b"1.5", b"", None):
                 era.receive(Item(SETTLED_ERA_KEY, value, 5, 5, 1))
@@ -102,7 +104,7 @@
 
         self.play(work)
 
-    def test_an_outage_isnt_asked_again_and_again(self):
+    def test_writes_are_not_repeated_during_an_outage(self):
         async def work(served, era):
             self.clock.advance(LEADER_TTL_MS)
             served.store.faults.status = 503
@@ -117,8 +119,8 @@
 
 
 class TestLeaders(unittest.TestCase):
-    def test_a_process_that_hears_first_of_the_store_behind_a_return_waits(self):
-        # It started while the store was away: the era is younger than the process.
+    def test_a_process_whose_first_answer_comes_after_a_restore_waits(self):
+        # It started while the store was down: the era is younger than the process.
         async def play():
             async with Served() as served:
                 clock = ManualClock(1_000)
@@ -133,8 +135,8 @@
 
         self.assertEqual(run(play()), (True, False, False))
 
-    def test_a_group_of_which_all_agents_are_killed_changes_its_map_at_once(self):
-        # Callers were late for 1.5 s more behind each kill of all processes.
+    def test_a_group_changes_its_map_at_once_after_all_its_agents_were_killed(self):
+        # Guards against another 1.5 s of late answers after each kill of all processes.
         async def play():
             async with Group(61) as group:
                 await until(lambda: group.store.get(SETTLED_ERA_KEY) is not None, 10.0)
@@ -156,12 +158,12 @@
         self.assertEqual(mixed, [])
         self.assertLess(took_s, LEADER_TTL_MS / 1000)
 
-    def test_maps_are_one_while_the_store_returns_and_agents_are_killed(self):
+    def test_maps_agree_while_the_store_is_restored_and_agents_are_killed(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.assertEqual(run(self.return_and_kill(seed)), [])
+                self.assertEqual(run(self.restore_and_kill(seed)), [])
 
-    async def return_and_kill(self, seed):
+    async def restore_and_kill(self, seed):
         rng = random.Random(seed)
         async with Group(seed) as group:
             group.engines.lost_share = group.engines.late_share = 0.1
