--- a/packages/gateway/src/fuchsiahatch_gateway/following.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/following.py
@@ -165,7 +165,7 @@
         if changes.era != self._era:
             # The store was restored from an older copy and has reused this revision:
             # it answers, but reports no change up to it.
-            raise HistoryLostError(f"revision {self.revision} is of another era")
+            raise HistoryLostError(f"revision {self.revision} belongs to another era")
         self._health.note_answer(self._clock.now_ms())
         self.revision = max(self.revision, changes.revision)
         is_burst = len(changes.items) >= BURST_CHANGES
--- a/packages/gateway/src/fuchsiahatch_gateway/registration.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/registration.py
@@ -138,4 +138,4 @@
 
     def _check_era(self) -> None:
         if self._era != self._store.era:
-            raise StoreRestoredError(f"lease of era {self._era}")
+            raise StoreRestoredError(f"lease is from the earlier era {self._era}")
