--- a/packages/bench/src/fuchsiahatch_bench/entry_profile.py
+++ b/packages/bench/src/fuchsiahatch_bench/entry_profile.py
@@ -11,7 +11,7 @@
 from fuchsiahatch_bench.tables import load_average, make_table, write_result
 from fuchsiahatch_core.clock import Clock
 from fuchsiahatch_delivery.keys import fingerprint_of
-from fuchsiahatch_gateway.event_stream import EventCutter
+from fuchsiahatch_gateway.event_stream import EventSplitter
 from fuchsiahatch_gateway.fleet import Fleet
 from fuchsiahatch_gateway.routes import RouteTable
 from fuchsiahatch_standins.fleet_store import make_upstream_item
@@ -53,7 +53,7 @@
         "fingerprint of a body of 1 kB": lambda: fingerprint_of(
             "POST", "/r-1/x", "team@host", BODY
         ),
-        "one event cut": lambda: EventCutter().feed(EVENT),
+        "one event cut": lambda: EventSplitter().feed(EVENT),
     }
     for count in ROUTES:
         table, request = _make_routes(count), _make_request(count - 1)
--- a/packages/bench/src/fuchsiahatch_bench/overload.py
+++ b/packages/bench/src/fuchsiahatch_bench/overload.py
@@ -153,7 +153,7 @@
         began_ms = self._clock.now_ms()
         wait_ms = WAIT_SHARE * STREAM_PATIENCE_MS
         try:
-            upstream = await placer.take(SERVICE, f"team-{team}", 1, (), wait_ms)
+            upstream = await placer.acquire(SERVICE, f"team-{team}", 1, (), wait_ms)
         except RefusedError:
             # It came back with 503: nothing is earned.
             return
@@ -162,7 +162,7 @@
         tally.served += 1
         tally.credit += 1.0 if took_ms <= OBJECTIVE_MS else LATE_CREDIT
         await asyncio.sleep(WORK_MS / 1000)
-        placer.give_back(upstream)
+        placer.release(upstream)
 
     async def _report(self) -> None:
         while True:
--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -6,7 +6,7 @@
 
 from fuchsiahatch_adapter import names
 from fuchsiahatch_adapter.caller_requests import caller_headers, upstream_headers
-from fuchsiahatch_gateway.event_stream import EventCutter
+from fuchsiahatch_gateway.event_stream import EventSplitter
 from fuchsiahatch_gateway.next_steps import Result
 from fuchsiahatch_http1.client import (
     AnswerBroken,
@@ -95,7 +95,7 @@
         Whether the request could be sent again now.
     may_move : callable
         Whether a stream under way could go on at another upstream now.
-    events : EventCutter or None
+    events : EventSplitter or None
         For a stream, with what earlier upstreams sent of it.
     on_event : callable
         Is called as events are passed on.
@@ -110,7 +110,7 @@
     may_send: t.Callable[[], bool]
     may_give_up: t.Callable[[], bool]
     may_move: t.Callable[[], bool]
-    events: EventCutter | None
+    events: EventSplitter | None
     on_event: t.Callable[[], None]
     on_head: t.Callable[[Head], None]
 
--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -17,7 +17,7 @@
 from fuchsiahatch_delivery.keys import fingerprint_of
 from fuchsiahatch_gateway.attempts import Outcome, Try, run_try
 from fuchsiahatch_gateway.defaults import RETRY_AFTER_S, RETRY_AFTER_SPREAD
-from fuchsiahatch_gateway.event_stream import EventCutter
+from fuchsiahatch_gateway.event_stream import EventSplitter
 from fuchsiahatch_gateway.jobs import Job, silence_ms, wait_ms
 from fuchsiahatch_gateway.next_steps import (
     Progress,
@@ -150,7 +150,7 @@
         service = choose_service(match.route, self._rng)
         self._budget.note_request(service)
         streams = match.route.kind is Kind.STREAM
-        events = EventCutter() if streams else None
+        events = EventSplitter() if streams else None
         return Job(
             exchange,
             request,
@@ -188,7 +188,7 @@
         if not held_ms:
             return
         if upstream is not None:
-            self._placer.give_back(upstream)
+            self._placer.release(upstream)
         detail = "upstreams have crashed under this request"
         raise RefusedError(detail, Code.CRASHES_UPSTREAMS, retry_after_ms=held_ms)
 
@@ -214,7 +214,7 @@
         urgency = job.match.urgency
         began_ms = self._clock.now_ms()
         try:
-            return await self._placer.take(
+            return await self._placer.acquire(
                 job.service, team, urgency, job.tried, wait_ms(job, began_ms)
             )
         finally:
@@ -255,7 +255,7 @@
             if late is not None:
                 late.cancel()
             job.may_have_run = job.may_have_run or may_have_run
-            self._placer.give_back(upstream)
+            self._placer.release(upstream)
         outcome.events = job.last_event_ms is not None and job.last_event_ms >= sent_ms
         if outcome.result is Result.UNSENT:
             job.unsent += 1
--- a/packages/gateway/src/fuchsiahatch_gateway/event_stream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/event_stream.py
@@ -6,7 +6,7 @@
 MAX_EVENT_BYTES = 1_048_576
 
 
-class EventCutter:
+class EventSplitter:
     """Collects bytes and returns whole events.
 
     Attributes
--- a/packages/gateway/src/fuchsiahatch_gateway/jobs.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/jobs.py
@@ -6,7 +6,7 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.caller_requests import CallerRequest
     from fuchsiahatch_adapter.configuration import Route
-    from fuchsiahatch_gateway.event_stream import EventCutter
+    from fuchsiahatch_gateway.event_stream import EventSplitter
     from fuchsiahatch_gateway.routes import Match
     from fuchsiahatch_http1.server import Exchange
 
@@ -42,7 +42,7 @@
         The same for the same request under another id.
     arrived_ms, ends_ms : int
         When it came, and when its time is over.
-    events : EventCutter or None
+    events : EventSplitter or None
         For a stream.
     tried : list of str
         Upstreams that it was sent to.
@@ -66,7 +66,7 @@
     fingerprint: str
     arrived_ms: int
     ends_ms: int
-    events: "EventCutter | None"
+    events: "EventSplitter | None"
     tried: list[str] = dataclasses.field(default_factory=list)
     unsent: int = 0
     may_have_run: bool = False
--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -59,7 +59,7 @@
         """Requests that wait."""
         return len(self._waiters)
 
-    async def take(
+    async def acquire(
         self,
         service: str,
         team: str,
@@ -67,7 +67,7 @@
         tried: t.Collection[str],
         wait_ms: float,
     ) -> "Upstream":
-        """Return an upstream with a place, which is taken; `give_back` frees it.
+        """Return an upstream with a place, which is taken; `release` frees it.
 
         Raises
         ------
@@ -104,12 +104,12 @@
         try:
             wait_ms = await self._ask_permit(upstream)
         except BaseException:
-            self.give_back(upstream)
+            self.release(upstream)
             raise
         if not wait_ms:
             return True
         upstream.limited_until_ms = self._clock.now_ms() + wait_ms
-        self.give_back(upstream)
+        self.release(upstream)
         return False
 
     async def _take_place(
@@ -129,7 +129,7 @@
         upstream = await self._wait(queue, service, team, urgency, tried, wait_ms)
         if not self.is_usable(upstream):
             # It began to leave between the choice and this moment.
-            self.give_back(upstream)
+            self.release(upstream)
             raise RefusedError("the upstream has left", Code.NO_LIVE_UPSTREAM)
         return upstream
 
@@ -145,7 +145,7 @@
         """
         return self._fleet.choose(service, (), only_unlimited=True) is not None
 
-    def give_back(self, upstream: "Upstream") -> None:
+    def release(self, upstream: "Upstream") -> None:
         """Free a place."""
         upstream.own -= 1
         self.serve_waiting(upstream.entry.service)
@@ -196,7 +196,7 @@
             await asyncio.wait({waiter.future}, timeout=wait_ms / 1000)
         except asyncio.CancelledError:
             if waiter.future.done() and not waiter.future.exception():
-                self.give_back(waiter.future.result())
+                self.release(waiter.future.result())
             raise
         finally:
             self._waiters.pop(number, None)
--- a/tests/gateway/test_delivery_search.py
+++ b/tests/gateway/test_delivery_search.py
@@ -12,7 +12,7 @@
 
 from fuchsiahatch_gateway import attempts, delivery, next_steps
 from fuchsiahatch_gateway.delivery import Delivery
-from fuchsiahatch_gateway.event_stream import EventCutter
+from fuchsiahatch_gateway.event_stream import EventSplitter
 from fuchsiahatch_gateway.fleet import Fleet
 from fuchsiahatch_gateway.placing import Placer
 from fuchsiahatch_http1.client import ClientConnection
@@ -185,7 +185,7 @@
         attempts.names, "SIGNATURE", b"fuchsiahatch-request-id"
     ),
     "half an event is dropped": mock.patch.object(
-        EventCutter, "restart", lambda self: None
+        EventSplitter, "restart", lambda self: None
     ),
     "a reset is no end": mock.patch.object(
         ClientConnection, "connectionLost", _ends_cleanly
@@ -203,7 +203,7 @@
         Placer, "_wait", _waits_in_vain
     ),
     "every try gives its place back": mock.patch.object(
-        Placer, "give_back", lambda self, upstream: None
+        Placer, "release", lambda self, upstream: None
     ),
     "an answer comes in time": mock.patch.object(
         delivery.asyncio, "timeout", lambda limit_s: contextlib.nullcontext()
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -17,16 +17,16 @@
         self.placer = Placer(self.fleet, Clock())
         self.upstream = self.fleet.upstreams["a"]
 
-    def take(self, team="t", urgency=1, wait_ms=500):
-        return self.placer.take("svc", team, urgency, (), wait_ms)
+    def acquire(self, team="t", urgency=1, wait_ms=500):
+        return self.placer.acquire("svc", team, urgency, (), wait_ms)
 
     def test_a_place_goes_to_who_waits(self):
         async def wait():
-            first = await self.take()
-            second = asyncio.ensure_future(self.take())
+            first = await self.acquire()
+            second = asyncio.ensure_future(self.acquire())
             await asyncio.sleep(0.01)
             self.assertEqual(self.placer.waiting, 1)
-            self.placer.give_back(first)
+            self.placer.release(first)
             await second
             return self.upstream.own
 
@@ -34,9 +34,9 @@
 
     def test_who_waits_too_long_is_refused(self):
         async def wait():
-            await self.take()
+            await self.acquire()
             with self.assertRaises(RefusedError):
-                await self.take(wait_ms=20)
+                await self.acquire(wait_ms=20)
             return self.upstream.own, self.placer.waiting
 
         self.assertEqual(run(wait()), (1, 0))
@@ -45,10 +45,10 @@
         # An engine writes an answer for nobody, and one of its places is counted free
         # twice: the caller left in the same turn of the loop in which it got a place.
         async def wait():
-            first = await self.take()
-            second = asyncio.ensure_future(self.take())
+            first = await self.acquire()
+            second = asyncio.ensure_future(self.acquire())
             await asyncio.sleep(0.01)
-            self.placer.give_back(first)
+            self.placer.release(first)
             second.cancel()
             await asyncio.wait({second})
             return second.cancelled(), self.upstream.own
@@ -57,11 +57,11 @@
 
     def test_an_upstream_that_began_to_leave_gets_nothing(self):
         async def wait():
-            first = await self.take()
-            second = asyncio.ensure_future(self.take(wait_ms=100))
+            first = await self.acquire()
+            second = asyncio.ensure_future(self.acquire(wait_ms=100))
             await asyncio.sleep(0.01)
             self.fleet.apply({"a": item("a", 1, 2, slots=1, state="draining")})
-            self.placer.give_back(first)
+            self.placer.release(first)
             with self.assertRaises(RefusedError):
                 await second
             return self.upstream.own
@@ -70,19 +70,19 @@
 
     def test_a_quiet_team_is_not_behind_a_flood(self):
         async def wait():
-            place = await self.take()
+            place = await self.acquire()
             order = []
 
             async def one(team):
-                got = await self.take(team)
+                got = await self.acquire(team)
                 order.append(team)
-                self.placer.give_back(got)
+                self.placer.release(got)
 
             tasks = [asyncio.ensure_future(one("flood")) for _ in range(20)]
             await asyncio.sleep(0.01)
             tasks.append(asyncio.ensure_future(one("quiet")))
             await asyncio.sleep(0.01)
-            self.placer.give_back(place)
+            self.placer.release(place)
             await asyncio.gather(*tasks)
             return order.index("quiet")
 
--- a/tests/gateway/test_small_parts.py
+++ b/tests/gateway/test_small_parts.py
@@ -20,7 +20,7 @@
     decode,
     encode,
 )
-from fuchsiahatch_gateway.event_stream import EventCutter
+from fuchsiahatch_gateway.event_stream import EventSplitter
 from fuchsiahatch_gateway.log import MAX_LINES_PER_S, LineWriter
 from fuchsiahatch_gateway.lookups import EntryRecord, choose_addresses
 
@@ -76,9 +76,9 @@
                 decode(data)
 
 
-class TestEventCutter(unittest.TestCase):
+class TestEventSplitter(unittest.TestCase):
     def test_only_whole_events_come_out(self):
-        cutter = EventCutter()
+        cutter = EventSplitter()
         self.assertEqual(cutter.feed(b"id: 1\nda"), b"")
         self.assertEqual(cutter.feed(b"ta: x\n\nid: 2\n"), b"id: 1\ndata: x\n\n")
         self.assertEqual(cutter.last_id, b"1")
@@ -86,13 +86,13 @@
         self.assertEqual(cutter.take_rest(), b"")
 
     def test_half_an_event_is_dropped_at_a_restart(self):
-        cutter = EventCutter()
+        cutter = EventSplitter()
         cutter.feed(b"id: 1\n\nid: 2\nhalf")
         cutter.restart()
         self.assertEqual(cutter.feed(b"id: 2\n\n"), b"id: 2\n\n")
 
     def test_line_ends_of_two_bytes(self):
-        cutter = EventCutter()
+        cutter = EventSplitter()
         self.assertEqual(cutter.feed(b"id: 4\r\n\r\nx"), b"id: 4\r\n\r\n")
         self.assertEqual(cutter.last_id, b"4")
 
--- a/tests/gateway/test_stated_rates.py
+++ b/tests/gateway/test_stated_rates.py
@@ -97,7 +97,7 @@
         """Send one request where it may go; return its refusal, if it has one."""
         play = self.play
         try:
-            chosen = await self.placer.take("svc", "t", 1, (), 500)
+            chosen = await self.placer.acquire("svc", "t", 1, (), 500)
         except RefusedError as fault:
             return fault
         instance = chosen.entry.instance
@@ -108,7 +108,7 @@
         self.rates.note_answer(chosen, value)
         if value is not None:
             play.heard.setdefault((self.node, instance), self.clock.now_ms())
-        self.placer.give_back(chosen)
+        self.placer.release(chosen)
         return None
 
 
