--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -22,7 +22,7 @@
     from fuchsiahatch_http1.server import Exchange
 
 #: Answers to other requests that are passed over on one connection.
-MAX_STRANGERS = 4
+MAX_UNRELATED_ANSWERS = 4
 _MISPLACED = 421
 _UPSTREAM_FAILED = 500
 
@@ -46,8 +46,8 @@
         Whether the whole answer has gone to the caller already.
     cut : bool
         Whether the upstream's end of the connection closed before a whole answer.
-    events : bool
-        Whether events of its answer were passed on.
+    events_relayed : bool
+        Whether events of its answer were sent to the caller.
     group_crashed : bool
         Whether the upstream, a rank of a group, crashed before any of them.
     """
@@ -56,9 +56,9 @@
     detail: str = ""
     head: Head | None = None
     body: bytes = b""
-    passed_on: bool = False
-    cut: bool = False
-    events: bool = False
+    relayed: bool = False
+    closed_early: bool = False
+    events_relayed: bool = False
     group_crashed: bool = False
 
     @property
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Try:
+class Attempt:
     """What a try needs to know.
 
     Attributes
@@ -115,7 +115,9 @@
     on_head: t.Callable[[Head], None]
 
 
-async def run_try(exchange: "Exchange", pool: ConnectionPool, one: Try) -> Outcome:
+async def run_attempt(
+    exchange: "Exchange", pool: ConnectionPool, attempt: Attempt
+) -> Outcome:
     """Send a request to an upstream and return how that ended.
 
     Notes
@@ -123,22 +125,22 @@
     When the caller leaves or the time is over this is cancelled, and the connection is
     reset: an upstream goes on working for a caller who has gone until then.
     """
-    address = one.upstream.entry.address
+    address = attempt.upstream.entry.address
     try:
         connection = await pool.acquire(address.ip, address.port)
     except ConnectFailed as fault:
         return Outcome(Result.UNSENT, str(fault))
-    if not one.may_send():
+    if not attempt.may_send():
         # It began to leave while the connection was opened, which takes up to the
         # whole limit of a connect, and would end in the middle of the request.
         connection.abort()
         return Outcome(Result.UNSENT, "the upstream has left")
     try:
-        outcome = await _converse(exchange, connection, one)
+        outcome = await _send_and_receive(exchange, connection, attempt)
     except AnswerBroken as fault:
-        cut = connection.lost
+        closed_early = connection.lost
         connection.abort()
-        return Outcome(Result.BROKEN, str(fault), cut=cut)
+        return Outcome(Result.BROKEN, str(fault), closed_early=closed_early)
     except BaseException:
         connection.abort()
         raise
@@ -149,17 +151,21 @@
     return outcome
 
 
-async def _converse(
-    exchange: "Exchange", connection: ClientConnection, one: Try
+async def _send_and_receive(
+    exchange: "Exchange", connection: ClientConnection, attempt: Attempt
 ) -> Outcome:
-    last_id = None if one.events is None else one.events.last_id
+    last_id = None if attempt.events is None else attempt.events.last_id
     headers = upstream_headers(
-        exchange, one.upstream.entry.instance, one.team, one.left_ms, last_id
+        exchange,
+        attempt.upstream.entry.instance,
+        attempt.team,
+        attempt.left_ms,
+        last_id,
     )
     connection.send(Call(exchange.method, exchange.target, headers, exchange.body))
-    head = await _in_time(_own_head(exchange, connection), one)
+    head = await _limit_silence(_matching_head(exchange, connection), attempt)
     if head.status != _MISPLACED:
-        one.on_head(head)
+        attempt.on_head(head)
     if head.header(names.NOT_EXECUTED) is not None or head.status == _MISPLACED:
         await connection.body()
         return Outcome(Result.NOT_RUN, f"status {head.status}", head)
@@ -167,25 +173,25 @@
     if succeeded and head.header(names.SIGNATURE) is None:
         # Not this upstream's: whatever it is, the caller must not take it for one.
         return Outcome(Result.BROKEN, "a success without a signature", head)
-    if succeeded and one.events is not None:
-        return await _pass_on_events(exchange, connection, head, one)
+    if succeeded and attempt.events is not None:
+        return await _relay_events(exchange, connection, head, attempt)
     body = await connection.body()
     return Outcome(Result.ANSWERED, f"status {head.status}", head, body)
 
 
-async def _own_head(exchange: "Exchange", connection: ClientConnection) -> Head:
+async def _matching_head(exchange: "Exchange", connection: ClientConnection) -> Head:
     """Return the head of the answer to this request, past those of other requests.
 
     An upstream may send a second answer, late, where the answer to the next request on
     the connection is due: a caller would get another caller's booking.
     """
-    wanted = exchange.header(names.REQUEST_ID)
-    for _ in range(MAX_STRANGERS):
+    request_id = exchange.header(names.REQUEST_ID)
+    for _ in range(MAX_UNRELATED_ANSWERS):
         head = await connection.head()
-        found = head.header(names.REQUEST_ID)
-        if found == wanted:
+        answer_id = head.header(names.REQUEST_ID)
+        if answer_id == request_id:
             return head
-        if found is None and (head.status == _MISPLACED or head.status >= 400):
+        if answer_id is None and (head.status == _MISPLACED or head.status >= 400):
             # A refusal before the request was read names no request.
             return head
         await connection.body()
@@ -193,31 +199,31 @@
     raise AnswerBroken("only other requests' answers came")
 
 
-async def _in_time(work: t.Coroutine[t.Any, t.Any, T], one: Try) -> T:
+async def _limit_silence(work: t.Coroutine[t.Any, t.Any, T], attempt: Attempt) -> T:
     """Wait for what an upstream sends next, unless it is silent for too long.
 
     A rank group whose member has died stalls for seconds before it says so, and a
     caller leaves after two: the request must be elsewhere by then. Where it can't be
     sent again, a late answer is worth more than none.
     """
-    if one.silence_ms is None:
+    if attempt.silence_ms is None:
         return await work
     loop = asyncio.get_running_loop()
-    silence_s = one.silence_ms / 1000
+    silence_s = attempt.silence_ms / 1000
     timer: asyncio.TimerHandle | None = None
-    why = f"silent for {one.silence_ms} ms"
+    reason = f"silent for {attempt.silence_ms} ms"
 
     def note_silence() -> None:
         nonlocal timer
-        if one.may_give_up():
+        if attempt.may_give_up():
             limit.reschedule(loop.time())
         else:
             timer = loop.call_later(silence_s, note_silence)
 
     def move() -> None:
-        nonlocal why
-        if one.may_move():
-            why = "moved from a slow rank"
+        nonlocal reason
+        if attempt.may_move():
+            reason = "moved from a slow rank"
             limit.reschedule(loop.time())
 
     try:
@@ -225,33 +231,33 @@
         # same turn of the loop.
         async with asyncio.timeout(None) as limit:
             timer = loop.call_later(silence_s, note_silence)
-            one.upstream.movers.add(move)
+            attempt.upstream.movers.add(move)
             return await work
     except TimeoutError as fault:
-        raise AnswerBroken(why) from fault
+        raise AnswerBroken(reason) from fault
     finally:
-        one.upstream.movers.discard(move)
+        attempt.upstream.movers.discard(move)
         if timer is not None:
             timer.cancel()
 
 
-async def _pass_on_events(
-    exchange: "Exchange", connection: ClientConnection, head: Head, one: Try
+async def _relay_events(
+    exchange: "Exchange", connection: ClientConnection, head: Head, attempt: Attempt
 ) -> Outcome:
-    events = one.events
+    events = attempt.events
     assert events is not None
-    events.restart()
-    while (piece := await _in_time(connection.piece(), one)) is not None:
+    events.discard_partial()
+    while (piece := await _limit_silence(connection.piece(), attempt)) is not None:
         whole = events.feed(piece)
         if whole:
             _write_events(exchange, head, whole)
-            one.on_event()
+            attempt.on_event()
             await exchange.drained()
-    rest = events.take_rest()
+    rest = events.take_remainder()
     if rest or not exchange.started:
         _write_events(exchange, head, rest)
     exchange.finish()
-    return Outcome(Result.ANSWERED, "whole", head, passed_on=True)
+    return Outcome(Result.ANSWERED, "whole", head, relayed=True)
 
 
 def _write_events(exchange: "Exchange", head: Head, data: bytes) -> None:
--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -15,7 +15,7 @@
     RequestError,
 )
 from fuchsiahatch_delivery.keys import fingerprint_of
-from fuchsiahatch_gateway.attempts import Outcome, Try, run_try
+from fuchsiahatch_gateway.attempts import Attempt, Outcome, run_attempt
 from fuchsiahatch_gateway.defaults import RETRY_AFTER_S, RETRY_AFTER_SPREAD
 from fuchsiahatch_gateway.event_stream import EventSplitter
 from fuchsiahatch_gateway.jobs import Job, silence_ms, wait_ms
@@ -41,7 +41,7 @@
     from fuchsiahatch_http1.server import Exchange
 
 #: Time before the end of a request's time in which no further try is begun.
-LEAST_TRY_MS = 30
+MIN_ATTEMPT_MS = 30
 _STATUS = {
     Code.BAD_REQUEST: 400,
     Code.UNKNOWN_TEAM: 401,
@@ -126,7 +126,7 @@
                 self._check_held(job)
                 await self._deliver(job)
         except TimeoutError:
-            self._time_over(job)
+            self._handle_timeout(job)
         except FuchsiahatchError as fault:
             self._answer_error(exchange, fault, job)
         except asyncio.CancelledError:
@@ -164,17 +164,17 @@
 
     async def _deliver(self, job: Job) -> None:
         while True:
-            upstream = await self._place(job)
+            upstream = await self._acquire_slot(job)
             self._check_held(job, upstream)
-            outcome = await self._try(job, upstream)
-            await self._note_whole_or_crash(job, upstream, outcome)
+            outcome = await self._attempt(job, upstream)
+            await self._note_answer_or_crash(job, upstream, outcome)
             step = decide(outcome.result, self._progress(job, outcome))
-            if step is Step.RETRY and not self._may_spend(job, outcome):
+            if step is Step.RETRY and not self._spend_retry(job, outcome):
                 step = conclude(outcome.result, job.may_have_run)
             if step is Step.RETRY:
                 self._log.note_retry(job, upstream, outcome)
                 continue
-            self._end(job, step, outcome)
+            self._finish(job, step, outcome)
             return
 
     def _check_held(self, job: Job, upstream: "Upstream | None" = None) -> None:
@@ -192,24 +192,24 @@
         detail = "upstreams have crashed under this request"
         raise RefusedError(detail, Code.CRASHES_UPSTREAMS, retry_after_ms=held_ms)
 
-    async def _note_whole_or_crash(
+    async def _note_answer_or_crash(
         self, job: Job, upstream: "Upstream", outcome: Outcome
     ) -> None:
         if outcome.result is Result.ANSWERED:
             self._crashing.note_whole(job.fingerprint)
-        elif outcome.cut:
+        elif outcome.closed_early:
             crashed = await self._crashes.examine(job.fingerprint, upstream)
             outcome.group_crashed = (
-                crashed and bool(upstream.group) and not outcome.events
+                crashed and bool(upstream.group) and not outcome.events_relayed
             )
         elif outcome.result is Result.BROKEN:
             self._crashes.note_silence(job.fingerprint, upstream)
 
-    def _may_spend(self, job: Job, outcome: Outcome) -> bool:
+    def _spend_retry(self, job: Job, outcome: Outcome) -> bool:
         # Where no connection came about, the next send is the first that arrives.
         return outcome.result is Result.UNSENT or self._budget.spend(job.service)
 
-    async def _place(self, job: Job) -> "Upstream":
+    async def _acquire_slot(self, job: Job) -> "Upstream":
         team = job.match.team.name
         urgency = job.match.urgency
         began_ms = self._clock.now_ms()
@@ -220,23 +220,23 @@
         finally:
             job.waited_ms += self._clock.now_ms() - began_ms
 
-    async def _try(self, job: Job, upstream: "Upstream") -> Outcome:
+    async def _attempt(self, job: Job, upstream: "Upstream") -> Outcome:
         sent_ms = self._clock.now_ms()
         left_ms = job.ends_ms - sent_ms
-        late = self._expect_answer(job, upstream)
+        late_timer = self._expect_answer(job, upstream)
 
         def note_head(head: "Head") -> None:
-            if late is not None:
-                late.cancel()
+            if late_timer is not None:
+                late_timer.cancel()
             self._on_head(upstream, head)
 
-        one = Try(
+        attempt = Attempt(
             upstream,
             job.match.team.name,
             left_ms,
             silence_ms(job, left_ms),
             lambda: self._placer.is_usable(upstream),
-            lambda: self._could_be_sent_again(job),
+            lambda: self._could_retry(job),
             lambda: self._could_move(job),
             job.events,
             lambda: job.note_event(self._clock.now_ms()),
@@ -249,18 +249,20 @@
         job.load_then = upstream.load(sent_ms)
         job.report_age_ms = upstream.report_age_ms(sent_ms)
         try:
-            outcome = await run_try(job.exchange, self._pool, one)
+            outcome = await run_attempt(job.exchange, self._pool, attempt)
             may_have_run = outcome.result in (Result.ANSWERED, Result.BROKEN)
         finally:
-            if late is not None:
-                late.cancel()
+            if late_timer is not None:
+                late_timer.cancel()
             job.may_have_run = job.may_have_run or may_have_run
             self._placer.release(upstream)
-        outcome.events = job.last_event_ms is not None and job.last_event_ms >= sent_ms
+        outcome.events_relayed = (
+            job.last_event_ms is not None and job.last_event_ms >= sent_ms
+        )
         if outcome.result is Result.UNSENT:
             job.unsent += 1
             job.tried.pop()
-        self._learn(upstream, outcome, sent_ms, was_started)
+        self._record_result(upstream, outcome, sent_ms, was_started)
         return outcome
 
     def _expect_answer(
@@ -273,18 +275,18 @@
 
     def _could_move(self, job: Job) -> bool:
         # Only a stream: whatever else runs is nearly done.
-        return job.events is not None and self._could_be_sent_again(job)
+        return job.events is not None and self._could_retry(job)
 
-    def _could_be_sent_again(self, job: Job) -> bool:
+    def _could_retry(self, job: Job) -> bool:
         # To the same upstream too: a connection may be silent where new ones work.
         progress = self._progress(job, Outcome(Result.BROKEN))
         return (
             decide(Result.BROKEN, progress) is Step.RETRY
-            and self._budget.has_room(job.service)
-            and self._placer.has_place(job.service)
+            and self._budget.has_retry_left(job.service)
+            and self._placer.has_free_slot(job.service)
         )
 
-    def _learn(
+    def _record_result(
         self, upstream: "Upstream", outcome: Outcome, sent_ms: int, was_started: bool
     ) -> None:
         now_ms = self._clock.now_ms()
@@ -293,7 +295,7 @@
             log_event(Event.UPSTREAM_MISPLACED, upstream=upstream.entry.instance)
         elif outcome.result is not Result.ANSWERED or outcome.upstream_failed:
             upstream.note_failure(now_ms)
-        elif not outcome.passed_on and not was_started:
+        elif not outcome.relayed and not was_started:
             upstream.note_latency(now_ms - sent_ms)
 
     def _progress(self, job: Job, outcome: Outcome) -> Progress:
@@ -301,21 +303,21 @@
         left_ms = job.ends_ms - self._clock.now_ms()
         # A stream that has begun can only go on behind an event with an id.
         begun = job.exchange.started and job.events is not None
-        stuck = begun and job.events is not None and job.events.last_id is None
+        unresumable = begun and job.events is not None and job.events.last_id is None
         return Progress(
-            repeatable=route.repeatable and not stuck,
+            repeatable=route.repeatable and not unresumable,
             sends=len(job.tried),
             max_sends=route.max_attempts,
             unsent=job.unsent,
             may_have_run=job.may_have_run,
             upstream_failed=outcome.upstream_failed,
-            time_left=left_ms > LEAST_TRY_MS,
+            time_left=left_ms > MIN_ATTEMPT_MS,
             crashes=self._crashing.crashes(job.fingerprint),
             group_crashed=outcome.group_crashed,
         )
 
-    def _end(self, job: Job, step: Step, outcome: Outcome) -> None:
-        if step is Step.RELAY and outcome.passed_on:
+    def _finish(self, job: Job, step: Step, outcome: Outcome) -> None:
+        if step is Step.RELAY and outcome.relayed:
             self._log.note_end(job, "answered", outcome)
         elif step is Step.RELAY and not job.exchange.started:
             assert outcome.head is not None
@@ -331,7 +333,7 @@
             fault = FuchsiahatchError(detail, Code.UNKNOWN)
             self._answer_error(job.exchange, fault, job)
 
-    def _time_over(self, job: Job) -> None:
+    def _handle_timeout(self, job: Job) -> None:
         ran = bool(job.tried) or job.may_have_run
         if ran:
             fault = FuchsiahatchError("the time is over", Code.DEADLINE_PASSED)
@@ -364,8 +366,8 @@
             return
         headers = []
         if status == _UNAVAILABLE:
-            after_s = self._retry_after_s(fault.retry_after_ms)
-            headers.append((names.RETRY_AFTER, b"%.2f" % after_s))
+            retry_after_s = self._retry_after_s(fault.retry_after_ms)
+            headers.append((names.RETRY_AFTER, b"%.2f" % retry_after_s))
         exchange.respond(status, headers, f"{fault}\n".encode())
 
     def _retry_after_s(self, known_ms: int | None) -> float:
@@ -376,8 +378,8 @@
         return RETRY_AFTER_S * self._rng.uniform(earliest, latest)
 
     def _version(self) -> int:
-        known = self._routes.configuration
-        return 0 if known is None else known.version
+        configuration = self._routes.configuration
+        return 0 if configuration is None else configuration.version
 
 
 def _fingerprint_of(exchange: "Exchange", host: str, team: str) -> str:
--- a/packages/gateway/src/fuchsiahatch_gateway/event_stream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/event_stream.py
@@ -15,39 +15,39 @@
         Id of the last whole event.
     """
 
-    __slots__ = ("_rest", "last_id")
+    __slots__ = ("_buffer", "last_id")
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
         self.last_id: bytes | None = None
 
     def feed(self, data: bytes) -> bytes:
         """Return the whole events that end in the bytes so far."""
-        self._rest += data
+        self._buffer += data
         end = max(
-            _end_of(self._rest, b"\n\n"),
-            _end_of(self._rest, b"\r\n\r\n"),
+            _end_of(self._buffer, b"\n\n"),
+            _end_of(self._buffer, b"\r\n\r\n"),
         )
         if not end:
             return b""
-        whole, self._rest = self._rest[:end], self._rest[end:]
+        whole, self._buffer = self._buffer[:end], self._buffer[end:]
         for event_id in _ids(whole):
             self.last_id = event_id
         return whole
 
-    def take_rest(self) -> bytes:
+    def take_remainder(self) -> bytes:
         """Return what came behind the last whole event."""
-        rest, self._rest = self._rest, b""
+        rest, self._buffer = self._buffer, b""
         return rest
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Drop half an event that was cut; the next upstream sends it whole."""
-        self._rest = b""
+        self._buffer = b""
 
 
-def _end_of(data: bytes, mark: bytes) -> int:
-    at = data.rfind(mark)
-    return at + len(mark) if at >= 0 else 0
+def _end_of(data: bytes, terminator: bytes) -> int:
+    position = data.rfind(terminator)
+    return position + len(terminator) if position >= 0 else 0
 
 
 def _ids(events: bytes) -> t.Iterator[bytes]:
--- a/packages/gateway/src/fuchsiahatch_gateway/explain.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/explain.py
@@ -25,7 +25,9 @@
 #: Time before a request's end in which other events are shown.
 BACKGROUND_MS = 10_000
 #: Fields that say nothing of the request.
-_PLUMBING = frozenset(("event", "message_type", "timestamp", "t_ms", "node", "role"))
+_COMMON_FIELDS = frozenset(
+    ("event", "message_type", "timestamp", "t_ms", "node", "role")
+)
 
 Line = dict[str, t.Any]
 
@@ -55,15 +57,17 @@
     lines : iterable of dict
         Of all processes, in any order.
     """
-    known = list(lines)
-    own = [line for line in known if line.get("request") == request_id]
-    if not own:
+    all_lines = list(lines)
+    request_lines = [line for line in all_lines if line.get("request") == request_id]
+    if not request_lines:
         return [f"no line names request {request_id}; plain successes are sampled"]
-    own.sort(key=lambda line: line["t_ms"])
-    ended = own[-1]
-    about = [line for line in known if _is_background(line, ended)]
-    alike = [line for line in known if _is_of_the_same(line, ended)]
-    shown = sorted([*own, *about, *alike], key=lambda line: line["t_ms"])
+    request_lines.sort(key=lambda line: line["t_ms"])
+    ended = request_lines[-1]
+    background_lines = [line for line in all_lines if _is_background(line, ended)]
+    crash_lines = [line for line in all_lines if _is_same_crash(line, ended)]
+    shown = sorted(
+        [*request_lines, *background_lines, *crash_lines], key=lambda line: line["t_ms"]
+    )
     return [_describe(line, ended) for line in shown]
 
 
@@ -73,7 +77,7 @@
     return 0 <= ended["t_ms"] - line["t_ms"] <= BACKGROUND_MS
 
 
-def _is_of_the_same(line: Line, ended: Line) -> bool:
+def _is_same_crash(line: Line, ended: Line) -> bool:
     """Return whether a line tells of crashes under the same request."""
     if line["message_type"] not in CRASH_LINES:
         return False
@@ -84,10 +88,10 @@
     before_ms = ended["t_ms"] - line["t_ms"]
     kind = line["message_type"]
     fields = " ".join(
-        f"{name}={value}" for name, value in line.items() if name not in _PLUMBING
+        f"{name}={value}" for name, value in line.items() if name not in _COMMON_FIELDS
     )
-    words = BACKGROUND.get(kind, kind.replace("_", " "))
-    return f"{-before_ms:>8} ms  {line['node']}  {words}: {fields}"
+    description = BACKGROUND.get(kind, kind.replace("_", " "))
+    return f"{-before_ms:>8} ms  {line['node']}  {description}: {fields}"
 
 
 def explain(request_id: str) -> None:
--- a/packages/gateway/src/fuchsiahatch_gateway/lookups.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/lookups.py
@@ -12,7 +12,7 @@
 
 #: Entries that an answer names at least, where there are so many: callers of a zone
 #: whose entries have all died must know others.
-LEAST_ENTRIES = 2
+MIN_LOOKUP_ENTRIES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,16 +45,16 @@
     ------
     FormError
     """
-    what = f"registration of {node}"
-    record = read_json(value, EntryRecord, what)
-    with reading(what):
+    description = f"registration of {node}"
+    record = read_json(value, EntryRecord, description)
+    with reading(description):
         parse_address(record.callers)
         check_peer(record.peer)
     return record
 
 
 def choose_addresses(
-    entries: t.Iterable[EntryRecord], own: EntryRecord | None, zone: str
+    entries: t.Iterable[EntryRecord], local: EntryRecord | None, zone: str
 ) -> list[str]:
     """Return the addresses for a caller, its own zone's alone if they are enough.
 
@@ -66,10 +66,10 @@
     zone : str
         The caller's.
     """
-    known = {entry.callers: entry for entry in entries}
-    if own is not None:
-        known[own.callers] = own
-    near = [address for address, entry in known.items() if entry.zone == zone]
-    if len(near) >= LEAST_ENTRIES:
-        return near[:MAX_LOOKUP_ENTRIES]
-    return [*near, *(known.keys() - set(near))][:MAX_LOOKUP_ENTRIES]
+    by_address = {entry.callers: entry for entry in entries}
+    if local is not None:
+        by_address[local.callers] = local
+    same_zone = [address for address, entry in by_address.items() if entry.zone == zone]
+    if len(same_zone) >= MIN_LOOKUP_ENTRIES:
+        return same_zone[:MAX_LOOKUP_ENTRIES]
+    return [*same_zone, *(by_address.keys() - set(same_zone))][:MAX_LOOKUP_ENTRIES]
--- a/packages/gateway/src/fuchsiahatch_gateway/losses.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/losses.py
@@ -8,7 +8,7 @@
 #: Time for a place beyond which waiting counts as the cause of a late answer.
 LONG_WAIT_MS = 100
 #: One in this many plain answers in time has a line.
-SAMPLE = 20
+SUCCESS_SAMPLE = 20
 
 #: Causes in the order in which they are looked for; the first that fits counts.
 _CAUSES: tuple[tuple[str, t.Callable[[Line], bool]], ...] = (
@@ -28,7 +28,7 @@
 
 def cause_of(line: Line) -> str:
     """Return what became of a request, by the line of its end."""
-    return next(name for name, fits in _CAUSES if fits(line))
+    return next(name for name, matches in _CAUSES if matches(line))
 
 
 def describe_losses(lines: t.Iterable[Line], span_ms: int) -> t.Iterator[str]:
@@ -40,19 +40,19 @@
         Of all entries. Their clocks may differ: spells are of the time of day.
     span_ms : int
     """
-    spells: dict[int, collections.Counter[str]] = {}
+    intervals: dict[int, collections.Counter[str]] = {}
     for line in lines:
         if line["message_type"] != "request_ended":
             continue
         at_ms = int(line["timestamp"] * 1000)
-        spell = spells.setdefault(at_ms // span_ms, collections.Counter())
+        counts = intervals.setdefault(at_ms // span_ms, collections.Counter())
         plain = line["end"] == "answered" and len(line.get("tried") or ()) == 1
         in_time = plain and line.get("on_time", True)
-        spell[cause_of(line)] += SAMPLE if in_time else 1
-    first = min(spells, default=0)
-    for number, spell in sorted(spells.items()):
-        yield f"{(number - first) * span_ms / 1000:>6} s  {_describe(spell)}"
-    total = sum(spells.values(), collections.Counter())
+        counts[cause_of(line)] += SUCCESS_SAMPLE if in_time else 1
+    first = min(intervals, default=0)
+    for number, counts in sorted(intervals.items()):
+        yield f"{(number - first) * span_ms / 1000:>6} s  {_describe(counts)}"
+    total = sum(intervals.values(), collections.Counter())
     yield f"     all  {_describe(total)}"
 
 
@@ -60,5 +60,7 @@
     return line["end"] == "answered"
 
 
-def _describe(spell: collections.Counter[str]) -> str:
-    return ", ".join(f"{name} {count}" for name, count in spell.most_common()) or "none"
+def _describe(counts: collections.Counter[str]) -> str:
+    return (
+        ", ".join(f"{name} {count}" for name, count in counts.most_common()) or "none"
+    )
--- a/packages/gateway/src/fuchsiahatch_gateway/next_steps.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/next_steps.py
@@ -86,7 +86,7 @@
 MAX_UNSENT = 3
 #: Crashes behind which a request is sent no second time for one caller: one may be an
 #: upstream's own fault.
-CRASHES_FOR_ONE_SEND = 2
+CRASH_RETRY_LIMIT = 2
 
 
 def decide(result: Result, progress: Progress) -> Step:
@@ -101,7 +101,7 @@
     would be lost for the caller's one request, half of a service of two groups.
     """
     succeeded = result is Result.ANSWERED and not progress.upstream_failed
-    if not succeeded and progress.time_left and _may_try_again(result, progress):
+    if not succeeded and progress.time_left and _may_retry(result, progress):
         return Step.RETRY
     return conclude(result, progress.may_have_run)
 
@@ -113,11 +113,11 @@
     return Step.FAIL if may_have_run else Step.REFUSE
 
 
-def _may_try_again(result: Result, progress: Progress) -> bool:
+def _may_retry(result: Result, progress: Progress) -> bool:
     if progress.may_have_run and not progress.repeatable:
         return False
     if result is Result.UNSENT:
         return progress.unsent < MAX_UNSENT
-    if progress.group_crashed or progress.crashes >= CRASHES_FOR_ONE_SEND:
+    if progress.group_crashed or progress.crashes >= CRASH_RETRY_LIMIT:
         return False
     return progress.sends < progress.max_sends
--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -17,7 +17,7 @@
 #: Requests that may wait at one entry for one service.
 MAX_WAITING = 256
 #: Upstreams in need that are asked for a permit for one request, one after the other.
-MOST_ASKED = 3
+MAX_PERMIT_REQUESTS = 3
 #: Cost of a request in the fair queue, whose unit doesn't matter here.
 QUEUE_COST = 1.0
 
@@ -76,11 +76,11 @@
             name a rate and none of them takes a request more now.
         """
         ends_ms = self._clock.now_ms() + wait_ms
-        for _ in range(MOST_ASKED):
+        for _ in range(MAX_PERMIT_REQUESTS):
             self._check_permits(service)
             left_ms = max(ends_ms - self._clock.now_ms(), 1.0)
-            upstream = await self._take_place(service, team, urgency, tried, left_ms)
-            if await self._has_permit(upstream):
+            upstream = await self._acquire_slot(service, team, urgency, tried, left_ms)
+            if await self._request_permit(upstream):
                 return upstream
         # Enough have been asked; one that names no rate may have a place.
         upstream = self._fleet.choose(service, tried, only_unlimited=True)
@@ -97,7 +97,7 @@
             detail = "all upstreams take no more now"
             raise RefusedError(detail, Code.RATE_REACHED, retry_after_ms=permit_ms)
 
-    async def _has_permit(self, upstream: "Upstream") -> bool:
+    async def _request_permit(self, upstream: "Upstream") -> bool:
         """Return whether a request may go there; give the place back if not."""
         if upstream.stated is None or self._ask_permit is None:
             return True
@@ -112,7 +112,7 @@
         self.release(upstream)
         return False
 
-    async def _take_place(
+    async def _acquire_slot(
         self,
         service: str,
         team: str,
@@ -137,7 +137,7 @@
         """Return whether an upstream may still get new work."""
         return self._fleet.is_usable(upstream)
 
-    def has_place(self, service: str) -> bool:
+    def has_free_slot(self, service: str) -> bool:
         """Return whether a request would get a place at once.
 
         At an upstream that names no rate: a stream under way isn't given up for one
@@ -152,8 +152,8 @@
 
     def serve_waiting(self, service: str | None = None) -> None:
         """Give the places that are free to those who wait."""
-        names = list(self._queues) if service is None else [service]
-        for name in names:
+        services = list(self._queues) if service is None else [service]
+        for name in services:
             queue = self._queues.get(name)
             while queue is not None and len(queue):
                 if not self._serve_next(queue, name):
@@ -187,9 +187,9 @@
         expires_ms = now_ms + int(wait_ms)
         waiter = _Waiter(asyncio.get_running_loop().create_future(), tried)
         self._waiters[number] = waiter
-        pushed_out = queue.push(Waiting(number, team, urgency, now_ms, expires_ms))
-        if pushed_out is not None:
-            self._refuse(pushed_out.ticket)
+        evicted = queue.push(Waiting(number, team, urgency, now_ms, expires_ms))
+        if evicted is not None:
+            self._refuse(evicted.ticket)
         try:
             # Not wait_for: it hides that the caller has left when the place comes in
             # the same turn of the loop, and the upstream would work for nobody.
--- a/packages/gateway/src/fuchsiahatch_gateway/retry_budget.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/retry_budget.py
@@ -8,10 +8,10 @@
 
 #: Share of the budget that is used: entries may disagree for a moment about how many
 #: of them there are.
-MARGIN = 0.65
+USED_SHARE = 0.65
 #: Share of its part that a process may spend at once after a start. Whoever ran here
 #: before it may have spent the whole part within the same window.
-FIRST_SHARE = 0.5
+STARTUP_SHARE = 0.5
 
 
 class RetryBudget:
@@ -74,30 +74,30 @@
 
     def spend(self, service: str) -> bool:
         """Take one second send out of the budget; return whether there was one."""
-        if not self.has_room(service):
+        if not self.has_retry_left(service):
             self.refused += 1
             return False
         self._recent(self._retries, service).append(self._clock.now_ms())
         self.spent += 1
         return True
 
-    def has_room(self, service: str) -> bool:
+    def has_retry_left(self, service: str) -> bool:
         """Return whether there is a second send left."""
         retries = self._recent(self._retries, service)
         requests = self._recent(self._requests, service)
-        allowed = MARGIN * self._ratio * len(requests) + self._slack_part()
+        allowed = USED_SHARE * self._ratio * len(requests) + self._slack_share()
         return len(retries) + 1 <= allowed
 
-    def _slack_part(self) -> float:
+    def _slack_share(self) -> float:
         age_ms = self._clock.now_ms() - self._started_ms
-        grown = FIRST_SHARE + (1 - FIRST_SHARE) * age_ms / self._window_ms
-        return MARGIN * self._slack / max(self._count_entries(), 1) * min(grown, 1.0)
+        ramp = STARTUP_SHARE + (1 - STARTUP_SHARE) * age_ms / self._window_ms
+        return USED_SHARE * self._slack / max(self._count_entries(), 1) * min(ramp, 1.0)
 
     def _recent(
         self, times: dict[str, collections.deque[int]], service: str
     ) -> collections.deque[int]:
-        kept = times.setdefault(service, collections.deque())
+        recent_times = times.setdefault(service, collections.deque())
         oldest_ms = self._clock.now_ms() - self._window_ms
-        while kept and kept[0] < oldest_ms:
-            kept.popleft()
-        return kept
+        while recent_times and recent_times[0] < oldest_ms:
+            recent_times.popleft()
+        return recent_times
--- a/packages/gateway/src/fuchsiahatch_gateway/routes.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/routes.py
@@ -70,7 +70,7 @@
         another configuration under the version that was lost; that one holds.
         """
         try:
-            fresh = decode_configuration(value)
+            candidate = decode_configuration(value)
         except FormError as fault:
             log_event(
                 Event.CONFIGURATION_UNREADABLE,
@@ -79,26 +79,28 @@
             )
             return False
         if self.configuration is not None:
-            if fresh.version < self.configuration.version:
+            if candidate.version < self.configuration.version:
                 return False
             rewritten = era > self._era and value != self._value
-            if fresh.version == self.configuration.version and not rewritten:
+            if candidate.version == self.configuration.version and not rewritten:
                 return False
-        self.configuration = fresh
+        self.configuration = candidate
         self._era, self._value = era, value
-        self._by_host = _group_by_host(fresh.routes)
+        self._by_host = _group_by_host(candidate.routes)
         log_event(
             Event.CONFIGURATION_APPLIED,
-            version=fresh.version,
-            routes=len(fresh.routes),
+            version=candidate.version,
+            routes=len(candidate.routes),
         )
         return True
 
     def engine_of(self, service: str) -> Engine | None:
         """Return how a service's model engines work; None for a plain service."""
-        known = self.configuration
-        found = None if known is None else known.services.get(service)
-        return None if found is None else found.engine
+        configuration = self.configuration
+        definition = (
+            None if configuration is None else configuration.services.get(service)
+        )
+        return None if definition is None else definition.engine
 
     def match(self, request: "CallerRequest") -> Match:
         """Return a request's route and team.
@@ -110,21 +112,26 @@
         RequestError
             When no route matches, or the key is unknown.
         """
-        known = self.configuration
-        if known is None:
+        configuration = self.configuration
+        if configuration is None:
             raise RefusedError("no configuration is known yet", Code.NOT_FRESH)
         routes = self._by_host.get(request.host, ())
         route = next(
-            (one for one in routes if request.path.startswith(one.prefix)), None
+            (
+                candidate
+                for candidate in routes
+                if request.path.startswith(candidate.prefix)
+            ),
+            None,
         )
         if route is None:
             raise RequestError("no route matches", Code.NOT_FOUND)
-        if route.public or known.teams is None:
-            return Match(route, NO_TEAM, known.version)
-        team = known.teams.get(request.key)
+        if route.public or configuration.teams is None:
+            return Match(route, NO_TEAM, configuration.version)
+        team = configuration.teams.get(request.key)
         if team is None:
             raise RequestError("the key is unknown", Code.UNKNOWN_TEAM)
-        return Match(route, team, known.version)
+        return Match(route, team, configuration.version)
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
--- a/tests/gateway/test_delivery_search.py
+++ b/tests/gateway/test_delivery_search.py
@@ -173,19 +173,19 @@
 
 GUARDS = {
     "a request that may have run goes nowhere else": mock.patch.object(
-        next_steps, "_may_try_again", _repeats_all
+        next_steps, "_may_retry", _repeats_all
     ),
     "a refusal says that nothing ran": mock.patch.object(
         Delivery, "_answer_error", _keeps_refusal
     ),
     "another request's answer is passed over": mock.patch.object(
-        attempts, "_own_head", _takes_first_head
+        attempts, "_matching_head", _takes_first_head
     ),
     "a success is the upstream's own": mock.patch.object(
         attempts.names, "SIGNATURE", b"fuchsiahatch-request-id"
     ),
     "half an event is dropped": mock.patch.object(
-        EventSplitter, "restart", lambda self: None
+        EventSplitter, "discard_partial", lambda self: None
     ),
     "a reset is no end": mock.patch.object(
         ClientConnection, "connectionLost", _ends_cleanly
--- a/tests/gateway/test_losses.py
+++ b/tests/gateway/test_losses.py
@@ -1,6 +1,6 @@
 import unittest
 
-from fuchsiahatch_gateway.losses import SAMPLE, cause_of, describe_losses
+from fuchsiahatch_gateway.losses import SUCCESS_SAMPLE, cause_of, describe_losses
 
 
 def ended(at_s=10.0, end="answered", **fields):
@@ -42,7 +42,7 @@
             {"message_type": "started", "timestamp": 9.0},
         ]
         first, second, whole = describe_losses(lines, 2_000)
-        self.assertIn(f"in time {SAMPLE}", first)
+        self.assertIn(f"in time {SUCCESS_SAMPLE}", first)
         self.assertIn("refused: no place 1", first)
         self.assertIn("2.0 s  late: pause in its stream 1", second)
         self.assertIn("late: pause in its stream 1", whole)
--- a/tests/gateway/test_next_steps.py
+++ b/tests/gateway/test_next_steps.py
@@ -3,7 +3,7 @@
 import unittest
 
 from fuchsiahatch_gateway.next_steps import (
-    CRASHES_FOR_ONE_SEND,
+    CRASH_RETRY_LIMIT,
     MAX_UNSENT,
     Progress,
     Result,
@@ -76,7 +76,7 @@
         for result, progress, step in all_cases():
             if step is not Step.RETRY or result is Result.UNSENT:
                 continue
-            twice = dataclasses.replace(progress, crashes=CRASHES_FOR_ONE_SEND)
+            twice = dataclasses.replace(progress, crashes=CRASH_RETRY_LIMIT)
             group = dataclasses.replace(progress, group_crashed=True)
             self.assertIsNot(decide(result, twice), Step.RETRY)
             self.assertIsNot(decide(result, group), Step.RETRY)
--- a/tests/gateway/test_small_parts.py
+++ b/tests/gateway/test_small_parts.py
@@ -78,23 +78,23 @@
 
 class TestEventSplitter(unittest.TestCase):
     def test_only_whole_events_come_out(self):
-        cutter = EventSplitter()
-        self.assertEqual(cutter.feed(b"id: 1\nda"), b"")
-        self.assertEqual(cutter.feed(b"ta: x\n\nid: 2\n"), b"id: 1\ndata: x\n\n")
-        self.assertEqual(cutter.last_id, b"1")
-        self.assertEqual(cutter.feed(b"\n"), b"id: 2\n\n")
-        self.assertEqual(cutter.take_rest(), b"")
+        splitter = EventSplitter()
+        self.assertEqual(splitter.feed(b"id: 1\nda"), b"")
+        self.assertEqual(splitter.feed(b"ta: x\n\nid: 2\n"), b"id: 1\ndata: x\n\n")
+        self.assertEqual(splitter.last_id, b"1")
+        self.assertEqual(splitter.feed(b"\n"), b"id: 2\n\n")
+        self.assertEqual(splitter.take_remainder(), b"")
 
     def test_half_an_event_is_dropped_at_a_restart(self):
-        cutter = EventSplitter()
-        cutter.feed(b"id: 1\n\nid: 2\nhalf")
-        cutter.restart()
-        self.assertEqual(cutter.feed(b"id: 2\n\n"), b"id: 2\n\n")
+        splitter = EventSplitter()
+        splitter.feed(b"id: 1\n\nid: 2\nhalf")
+        splitter.discard_partial()
+        self.assertEqual(splitter.feed(b"id: 2\n\n"), b"id: 2\n\n")
 
     def test_line_ends_of_two_bytes(self):
-        cutter = EventSplitter()
-        self.assertEqual(cutter.feed(b"id: 4\r\n\r\nx"), b"id: 4\r\n\r\n")
-        self.assertEqual(cutter.last_id, b"4")
+        splitter = EventSplitter()
+        self.assertEqual(splitter.feed(b"id: 4\r\n\r\nx"), b"id: 4\r\n\r\n")
+        self.assertEqual(splitter.last_id, b"4")
 
 
 class TestLog(unittest.TestCase):
