--- a/packages/gateway/src/fuchsiahatch_gateway/event_stream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/event_stream.py
@@ -1,18 +1,19 @@
-"""Cutting a stream of events into whole events."""
+"""Splitting a server-sent event stream at event boundaries."""
 
 import typing as t
 
-#: Longest event that is kept until its end; a longer one is passed on in parts.
+#: Length above which an event is meant to be forwarded in parts. `EventSplitter`
+#: doesn't enforce it.
 MAX_EVENT_BYTES = 1_048_576
 
 
 class EventSplitter:
-    """Collects bytes and returns whole events.
+    """Buffers bytes of a stream and returns complete events.
 
     Attributes
     ----------
     last_id : bytes or None
-        Id of the last whole event.
+        Id of the last complete event, for the Last-Event-ID header of a resumed stream.
     """
 
     __slots__ = ("_buffer", "last_id")
@@ -22,7 +23,7 @@
         self.last_id: bytes | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that end in the bytes so far."""
+        """Add bytes to the buffer; return the events that are complete now."""
         self._buffer += data
         end = max(
             _end_of(self._buffer, b"\n\n"),
@@ -36,12 +37,12 @@
         return whole
 
     def take_remainder(self) -> bytes:
-        """Return what came behind the last whole event."""
+        """Return and clear the bytes after the last complete event."""
         rest, self._buffer = self._buffer, b""
         return rest
 
     def discard_partial(self) -> None:
-        """Drop half an event that was cut; the next upstream sends it whole."""
+        """Drop an incomplete event; the next upstream sends it again in full."""
         self._buffer = b""
 
 
--- a/packages/gateway/src/fuchsiahatch_gateway/lookups.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/lookups.py
@@ -1,4 +1,4 @@
-"""Which entries a caller may connect to."""
+"""Selection of the entry addresses that a lookup returns to a caller."""
 
 import dataclasses
 import typing as t
@@ -10,22 +10,22 @@
 from fuchsiahatch_gateway.datagrams import check_peer
 from fuchsiahatch_gateway.defaults import MAX_LOOKUP_ENTRIES
 
-#: Entries that an answer names at least, where there are so many: callers of a zone
-#: whose entries have all died must know others.
+#: Minimum number of entries in an answer, if that many exist. Callers in a zone whose
+#: entries have all failed need the address of an entry elsewhere.
 MIN_LOOKUP_ENTRIES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryRecord:
-    """An entry's registration.
+    """An entry's registration in the store.
 
     Attributes
     ----------
     node, zone : str
     callers : str
-        Where it takes callers' requests, ``ip:port``.
+        Address for callers' requests, ``ip:port``.
     peer : tuple of (str, int)
-        Where it takes our datagrams.
+        Address for datagrams of the gateway's other processes.
     """
 
     node: str
@@ -34,7 +34,7 @@
     peer: tuple[str, int]
 
     def encode(self) -> bytes:
-        """Return the registration's value."""
+        """Return the registration as it is stored."""
         return orjson.dumps(dataclasses.asdict(self))
 
 
@@ -56,15 +56,16 @@
 def choose_addresses(
     entries: t.Iterable[EntryRecord], local: EntryRecord | None, zone: str
 ) -> list[str]:
-    """Return the addresses for a caller, its own zone's alone if they are enough.
+    """Return the entry addresses for a caller, only those of its zone if they suffice.
 
     Parameters
     ----------
     entries : iterable of EntryRecord
-    own : EntryRecord or None
-        This entry, while it takes requests: it is alive whatever the store says.
+    local : EntryRecord or None
+        This entry; None while it takes no requests. It is included even if the store
+        doesn't list it, as it is known to be alive.
     zone : str
-        The caller's.
+        Zone of the caller.
     """
     by_address = {entry.callers: entry for entry in entries}
     if local is not None:
--- a/tests/gateway/test_small_parts.py
+++ b/tests/gateway/test_small_parts.py
@@ -30,27 +30,27 @@
 
 
 class TestLookups(unittest.TestCase):
-    def test_near_entries_alone_where_they_are_enough(self):
+    def test_only_entries_of_the_zone_if_they_suffice(self):
         entries = [record("1", "a"), record("2", "a"), record("3", "b")]
         found = choose_addresses(entries, None, "a")
         self.assertEqual(found, ["10.0.0.1:80", "10.0.0.2:80"])
 
-    def test_far_ones_behind_a_single_near_one(self):
+    def test_entries_of_other_zones_follow_a_single_local_one(self):
         entries = [record("1", "a"), record("2", "b")]
         found = choose_addresses(entries, None, "b")
         self.assertEqual(found, ["10.0.0.2:80", "10.0.0.1:80"])
 
-    def test_itself_where_it_knows_no_other(self):
-        # All callers are turned away though an entry is up: its lookup answers were
-        # empty, since the store had forgotten every registration.
+    def test_the_answering_entry_if_no_other_is_listed(self):
+        # The store had lost every registration, and lookup answers were empty although
+        # an entry was serving.
         self.assertEqual(choose_addresses([], record("1", "a"), "b"), ["10.0.0.1:80"])
 
-    def test_nothing_while_it_leaves_alone(self):
+    def test_no_addresses_if_the_only_entry_is_leaving(self):
         self.assertEqual(choose_addresses([], None, "a"), [])
 
 
 class TestDatagrams(unittest.TestCase):
-    def test_every_message_comes_back_as_it_was(self):
+    def test_messages_survive_encoding_and_decoding(self):
         report = RankReport(
             2, 3, 40, True, 812, 7, 8, Armed(8, 814), 814, ((1, 5), (2, 63))
         )
@@ -70,14 +70,14 @@
         ):
             self.assertEqual(decode(encode(message)), message)
 
-    def test_what_is_no_message_is_said_so(self):
+    def test_malformed_messages_are_rejected(self):
         for data in (b"", b"\xc1", b"\x91\x63", b"\x90", b"junk", b"\x92\x00\x01"):
             with self.assertRaises(FormError):
                 decode(data)
 
 
 class TestEventSplitter(unittest.TestCase):
-    def test_only_whole_events_come_out(self):
+    def test_only_complete_events_are_returned(self):
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\nda"), b"")
         self.assertEqual(splitter.feed(b"ta: x\n\nid: 2\n"), b"id: 1\ndata: x\n\n")
@@ -85,13 +85,13 @@
         self.assertEqual(splitter.feed(b"\n"), b"id: 2\n\n")
         self.assertEqual(splitter.take_remainder(), b"")
 
-    def test_half_an_event_is_dropped_at_a_restart(self):
+    def test_partial_event_is_discarded(self):
         splitter = EventSplitter()
         splitter.feed(b"id: 1\n\nid: 2\nhalf")
         splitter.discard_partial()
         self.assertEqual(splitter.feed(b"id: 2\n\n"), b"id: 2\n\n")
 
-    def test_line_ends_of_two_bytes(self):
+    def test_crlf_line_endings(self):
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 4\r\n\r\nx"), b"id: 4\r\n\r\n")
         self.assertEqual(splitter.last_id, b"4")
@@ -105,7 +105,7 @@
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, writer)
 
-    def test_lines_beyond_the_bound_are_counted(self):
+    def test_lines_above_the_rate_limit_are_counted(self):
         for _ in range(MAX_LINES_PER_S + 5):
             self.log({"event": 1})
         self.assertEqual((self.log.written, self.log.dropped), (MAX_LINES_PER_S, 5))
@@ -114,9 +114,9 @@
         last = os.read(self.reader, 1_000_000).splitlines()[-1]
         self.assertEqual(orjson.loads(last)["dropped_lines"], 5)
 
-    def test_a_reader_that_stands_still_stops_nobody(self):
-        # Requests wait for seconds behind a log line: the pipe was full, and the
-        # process waited for its reader.
+    def test_blocked_reader_does_not_block_the_writer(self):
+        # A write to a full pipe blocks the process until its reader continues, and
+        # requests wait for seconds meanwhile.
         for second in range(200):
             self.now_ms = second * 1_000
             self.log({"text": "x" * 2_000})
