--- a/packages/gateway/src/fuchsiahatch_gateway/next_steps.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/next_steps.py
@@ -1,22 +1,22 @@
-"""What to do after a try at an upstream, as a pure function."""
+"""The decision after an attempt at an upstream, as a pure function."""
 
 import dataclasses
 import enum
 
 
 class Result(enum.Enum):
-    """How a try at an upstream ended.
+    """How an attempt at an upstream ended.
 
     Attributes
     ----------
     UNSENT
-        No connection came about.
+        No connection was established.
     NOT_RUN
-        The upstream promised that it did not run the request and never will.
+        The upstream guarantees that it did not run the request and never will.
     ANSWERED
-        A whole answer, be it a success or the upstream's own failure.
+        A complete answer, whether a success or an error of the upstream.
     BROKEN
-        No whole answer: the request may have run.
+        No complete answer; the request may have run.
     """
 
     UNSENT = "unsent"
@@ -26,18 +26,18 @@
 
 
 class Step(enum.Enum):
-    """What to do next.
+    """What to do with a request after an attempt.
 
     Attributes
     ----------
     RELAY
-        Hand the upstream's answer to the caller.
+        Send the upstream's answer to the caller.
     RETRY
         Send the request to another upstream.
     REFUSE
-        Tell the caller that the request was not run and never will be.
+        Report to the caller that the request was not run and never will be.
     FAIL
-        Tell the caller that nothing is known of the request.
+        Report to the caller that the request may or may not have run.
     """
 
     RELAY = "relay"
@@ -48,27 +48,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """Where one caller's request is after a try.
+    """State of a caller's request after an attempt.
 
     Attributes
     ----------
     repeatable : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     sends : int
-        Upstreams that it was sent to.
+        Attempts that reached an upstream.
     max_sends : int
     unsent : int
-        Tries for which no connection came about.
+        Attempts for which no connection was established.
     may_have_run : bool
-        Whether any try so far may have run, this one included.
+        Whether any attempt so far, including this one, may have run the request.
     upstream_failed : bool
-        Whether the whole answer is a failure of the upstream's own.
+        Whether the complete answer is an error of the upstream.
     time_left : bool
-        Whether another try could still be answered.
+        Whether enough time is left for another attempt.
     crashes : int
-        Upstreams that have crashed under this request, or under the same one before.
+        Upstreams that crashed while running this request, or an earlier one with the
+        same fingerprint.
     group_crashed : bool
-        Whether the try took down a rank group before anything of its answer came.
+        Whether a rank group crashed during the attempt, before any part of its answer
+        was relayed.
     """
 
     repeatable: bool
@@ -82,23 +84,23 @@
     group_crashed: bool = False
 
 
-#: Tries without a connection before a request is refused.
+#: Attempts without a connection after which a request is refused.
 MAX_UNSENT = 3
-#: Crashes behind which a request is sent no second time for one caller: one may be an
-#: upstream's own fault.
+#: Crashes from which on a request isn't retried. A single crash may be unrelated to the
+#: request.
 CRASH_RETRY_LIMIT = 2
 
 
 def decide(result: Result, progress: Progress) -> Step:
-    """Return what to do after a try; a `RETRY` still needs the shared budget.
+    """Return the step after an attempt; a `RETRY` still needs the shared budget.
 
     Notes
     -----
-    A request that isn't repeatable goes to a second upstream only after a promise that
-    the first did not run it, and is refused only when no try may have run.
+    A request that isn't repeatable goes to a second upstream only if the first one
+    guarantees that it did not run it, and is refused only if no attempt may have run.
 
-    One that may crash whoever runs it isn't sent on by itself: a second rank group
-    would be lost for the caller's one request, half of a service of two groups.
+    A request that may crash its upstream isn't retried automatically: a second rank
+    group would be lost to one request, which is half of a service of two groups.
     """
     succeeded = result is Result.ANSWERED and not progress.upstream_failed
     if not succeeded and progress.time_left and _may_retry(result, progress):
@@ -107,7 +109,7 @@
 
 
 def conclude(result: Result, may_have_run: bool) -> Step:
-    """Return how a request ends that is not sent again."""
+    """Return the last step for a request that isn't retried."""
     if result is Result.ANSWERED:
         return Step.RELAY
     return Step.FAIL if may_have_run else Step.REFUSE
--- a/tests/gateway/test_next_steps.py
+++ b/tests/gateway/test_next_steps.py
@@ -39,40 +39,39 @@
 
 
 class TestDecide(unittest.TestCase):
-    def test_nothing_that_may_have_run_runs_again_unless_it_may(self):
-        # A trainer is booked twice: a hold went to a second upstream after a try that
-        # may have run.
+    def test_request_that_may_have_run_is_retried_only_if_repeatable(self):
+        # Otherwise a hold may run at two upstreams, and a trainer is booked twice.
         for result, progress, step in all_cases():
             if step is Step.RETRY and progress.may_have_run:
                 self.assertTrue(progress.repeatable, (result, progress))
 
-    def test_a_refusal_is_true(self):
-        # A caller is told "not run" of a hold that ran.
+    def test_refusal_means_that_nothing_ran(self):
+        # Otherwise a caller gets "not run" for a hold that ran.
         for result, progress, step in all_cases():
             if step is Step.REFUSE:
                 self.assertFalse(progress.may_have_run, (result, progress))
 
-    def test_a_whole_success_always_goes_to_the_caller(self):
+    def test_complete_success_is_always_relayed(self):
         for result, progress, step in all_cases():
             if result is Result.ANSWERED and not progress.upstream_failed:
                 self.assertIs(step, Step.RELAY)
 
-    def test_a_upstreams_failure_is_relayed_when_it_is_not_tried_again(self):
+    def test_error_of_an_upstream_is_relayed_or_retried(self):
         for result, _, step in all_cases():
             if result is Result.ANSWERED:
                 self.assertIn(step, (Step.RELAY, Step.RETRY))
 
-    def test_the_route_bounds_the_upstreams(self):
+    def test_attempts_are_limited_by_the_route(self):
         for result, progress, step in all_cases():
             if step is Step.RETRY and result is not Result.UNSENT:
                 self.assertLess(progress.sends, progress.max_sends)
 
-    def test_no_try_begins_without_time(self):
+    def test_no_retry_without_time_left(self):
         for _, progress, step in all_cases():
             if step is Step.RETRY:
                 self.assertTrue(progress.time_left)
 
-    def test_whoever_crashed_two_upstreams_or_a_group_is_sent_on_by_nobody(self):
+    def test_request_that_crashed_two_upstreams_or_a_group_is_not_retried(self):
         for result, progress, step in all_cases():
             if step is not Step.RETRY or result is Result.UNSENT:
                 continue
@@ -81,11 +80,11 @@
             self.assertIsNot(decide(result, twice), Step.RETRY)
             self.assertIsNot(decide(result, group), Step.RETRY)
 
-    def test_a_crash_of_one_plain_upstream_is_made_up_for(self):
+    def test_request_is_retried_after_one_crash_of_a_plain_upstream(self):
         progress = Progress(True, 1, 2, 0, True, False, True, crashes=1)
         self.assertIs(decide(Result.BROKEN, progress), Step.RETRY)
 
-    def test_tries_without_a_connection_end(self):
+    def test_attempts_without_a_connection_are_limited(self):
         for result, progress, step in all_cases():
             if result is Result.UNSENT and progress.unsent >= MAX_UNSENT:
                 self.assertIsNot(step, Step.RETRY)
