--- a/packages/gateway/src/fuchsiahatch_gateway/jobs.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/jobs.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way, and how long each part of it may take."""
+"""State of a caller's request in progress, and the limits on each of its phases."""
 
 import dataclasses
 import typing as t
@@ -10,27 +10,28 @@
     from fuchsiahatch_gateway.routes import Match
     from fuchsiahatch_http1.server import Exchange
 
-#: A caller leaves a stream that has sent no event for the longest of this, some times
-#: the route's objective, and some times its longest pause.
+#: A caller abandons a stream without an event for the longest of this time,
+#: `PATIENCE_OBJECTIVES` times the route's objective, and `PATIENCE_GAPS` times its gap
+#: objective.
 STREAM_PATIENCE_MS = 2_000
 PATIENCE_OBJECTIVES = 4
 PATIENCE_GAPS = 8
-#: Share of a caller's patience for which its request may wait for a place. The rest is
-#: for the upstream, which needs some 200 ms to the first event and 800 under load. With
-#: 0.6, callers left requests that had just been sent on.
+#: Share of a caller's patience for which its request may wait for a slot. The rest is
+#: for the upstream, which takes some 200 ms to the first event and 800 under load. With
+#: 0.6, callers left just after their requests had been sent to an upstream.
 WAIT_SHARE = 0.4
-#: Share of a caller's patience after which a silent stream that may be resumed goes on
-#: elsewhere. Pauses are usually some 80 ms; a group whose rank has died stalls for
-#: 1,500 ms, most of a patience of 2,000.
+#: Share of a caller's patience after which a silent resumable stream moves to another
+#: upstream. Gaps are usually some 80 ms; a group with a dead rank stalls for 1,500 ms,
+#: most of a patience of 2,000.
 STREAM_SILENCE_SHARE = 0.5
-#: Share of the time that is left for which a request that may be repeated waits for its
-#: first upstream.
+#: Share of the remaining time for which a repeatable request waits for an upstream that
+#: sends nothing.
 SILENCE_SHARE = 0.5
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """One request on its way.
+    """One request in progress.
 
     Attributes
     ----------
@@ -39,24 +40,28 @@
     match : Match
     service : str
     fingerprint : str
-        The same for the same request under another id.
+        Identifies the request independent of its id.
     arrived_ms, ends_ms : int
-        When it came, and when its time is over.
+        When it arrived, and its deadline.
     events : EventSplitter or None
-        For a stream.
+        For a stream; None for other requests.
     tried : list of str
-        Upstreams that it was sent to.
+        Upstreams that it was sent to, in order.
     unsent : int
+        Attempts for which no connection was established.
     may_have_run : bool
+        Whether any attempt so far may have run it.
     first_event_ms, last_event_ms : int or None
+        When the first and the latest event were relayed.
     longest_gap_ms : int
+        Longest time between two events.
     waited_ms : int
-        Time for which it waited for places.
+        Total time for which it waited for slots.
     load_then : int
-        Requests that its last upstream was believed to have as it was sent there, this
-        one included.
+        Estimated load of its latest upstream when it was sent there, in requests,
+        including this one.
     report_age_ms : int or None
-        Age of the load report behind that; None without one.
+        Age of the load report used for that estimate; None without one.
     """
 
     exchange: "Exchange"
@@ -78,7 +83,7 @@
     report_age_ms: int | None = None
 
     def is_on_time(self, now_ms: int) -> bool:
-        """Return whether an answer that ends now is within the route's objectives."""
+        """Return whether an answer that ends now meets the route's objectives."""
         route = self.match.route
         first_ms = now_ms if self.first_event_ms is None else self.first_event_ms
         if first_ms - self.arrived_ms > route.objective_ms:
@@ -86,7 +91,7 @@
         return route.gap_ms is None or self.longest_gap_ms <= route.gap_ms
 
     def note_event(self, now_ms: int) -> None:
-        """Note that an event went to the caller."""
+        """Record that an event was relayed to the caller."""
         if self.last_event_ms is not None:
             gap_ms = now_ms - self.last_event_ms
             self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
@@ -96,7 +101,7 @@
 
 
 def wait_ms(job: Job, now_ms: int) -> float:
-    """Return how long a request may wait for a place."""
+    """Return how long a request may wait for a slot."""
     left_ms = float(job.ends_ms - now_ms)
     if job.events is not None:
         left_ms = min(left_ms, patience_ms(job.match.route) - (now_ms - job.arrived_ms))
@@ -104,7 +109,7 @@
 
 
 def patience_ms(route: "Route") -> int:
-    """Return the silence after which a caller leaves a stream."""
+    """Return the silence after which a caller abandons a stream."""
     return max(
         STREAM_PATIENCE_MS,
         PATIENCE_OBJECTIVES * route.objective_ms,
@@ -113,7 +118,7 @@
 
 
 def silence_ms(job: Job, left_ms: int) -> int | None:
-    """Return how long an upstream may be silent, while another may be asked."""
+    """Return how long an upstream may be silent; None if it can't be retried."""
     route = job.match.route
     if not route.repeatable or len(job.tried) + 1 >= route.max_attempts:
         return None
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -21,18 +21,18 @@
 
 
 class TestPatience(unittest.TestCase):
-    def test_the_longest_of_three_counts(self):
+    def test_patience_is_the_longest_of_three_limits(self):
         self.assertEqual(patience_ms(job().match.route), 2_000)
         self.assertEqual(patience_ms(job(objective_ms=1_500).match.route), 6_000)
         self.assertEqual(patience_ms(job(gap_ms=400).match.route), 3_200)
 
-    def test_a_stream_waits_for_a_part_of_it(self):
+    def test_wait_is_a_share_of_the_remaining_patience(self):
         self.assertEqual(wait_ms(job(), 1_000), 800)
         self.assertEqual(wait_ms(job(), 2_000), 400)
         self.assertEqual(wait_ms(job(), 4_000), 1)
         self.assertEqual(wait_ms(job(stream=False), 1_000), 3_200)
 
-    def test_only_what_may_go_elsewhere_is_given_up(self):
+    def test_silence_is_limited_only_if_a_retry_may_follow(self):
         self.assertEqual(silence_ms(job(), 8_000), 1_000)
         self.assertIsNone(silence_ms(job(tried=["a", "b"]), 8_000))
         self.assertIsNone(silence_ms(job(repeatable=False), 8_000))
