--- a/packages/gateway/src/fuchsiahatch_gateway/retry_budget.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of second sends that all entries share."""
+"""The retry budget that all entries share."""
 
 import collections
 import typing as t
@@ -6,33 +6,34 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_core.clock import Clock
 
-#: Share of the budget that is used: entries may disagree for a moment about how many
-#: of them there are.
+#: Share of the budget that is used, as entries may disagree for a moment on their
+#: number.
 USED_SHARE = 0.65
-#: Share of its part that a process may spend at once after a start. Whoever ran here
-#: before it may have spent the whole part within the same window.
+#: Share of an entry's slack that is available right after a restart: the previous
+#: incarnation may have spent all of it within the same window.
 STARTUP_SHARE = 0.5
 
 
 class RetryBudget:
-    """One entry's part of the budget, without a call to the store for each try.
+    """One entry's share of the retry budget; an attempt needs no call to the store.
 
     Parameters
     ----------
     ratio : float
-        Second sends for each request to a service.
+        Retries per request to a service.
     slack : float
-        Second sends on top, over all entries.
+        Retries per window on top of the ratio, for all entries together.
     window_ms : int
     clock : Clock
     count_entries : callable
-        Returns how many entries are alive.
+        Returns the number of live entries.
     first_start : bool
-        Whether nobody ran here before.
+        Whether no process ran on this node before.
 
     Attributes
     ----------
     spent, refused : int
+        Retries that the budget allowed and refused.
     """
 
     __slots__ = (
@@ -73,7 +74,7 @@
         self._recent(self._requests, service).append(self._clock.now_ms())
 
     def spend(self, service: str) -> bool:
-        """Take one second send out of the budget; return whether there was one."""
+        """Take one retry from the budget; return False if none is left."""
         if not self.has_retry_left(service):
             self.refused += 1
             return False
@@ -82,7 +83,7 @@
         return True
 
     def has_retry_left(self, service: str) -> bool:
-        """Return whether there is a second send left."""
+        """Return whether a retry is left in the window."""
         retries = self._recent(self._retries, service)
         requests = self._recent(self._requests, service)
         allowed = USED_SHARE * self._ratio * len(requests) + self._slack_share()
--- a/tests/gateway/test_retry_budget.py
+++ b/tests/gateway/test_retry_budget.py
@@ -13,8 +13,8 @@
 
 
 class TestRetryBudget(unittest.TestCase):
-    def test_all_entries_together_stay_within_any_window(self):
-        # Upstreams that are full get all the second sends of all entries at once.
+    def test_all_entries_together_stay_within_the_budget(self):
+        # Otherwise overloaded upstreams get the retries of all entries at once.
         clock = ManualClock()
         budgets = [make(clock) for _ in range(7)]
         spent = []
@@ -28,8 +28,8 @@
             within = sum(end_ms - WINDOW_MS < at_ms <= end_ms for at_ms in spent)
             self.assertLessEqual(within, RATIO * requests_in_window + SLACK)
 
-    def test_a_restart_gives_little_anew(self):
-        # Entries that are killed one after the other each spend their part twice.
+    def test_restarted_entry_gets_at_most_half_of_its_share(self):
+        # Otherwise entries that are killed one after another spend their share twice.
         clock = ManualClock()
         first = make(clock)
         spent = sum(first.spend("svc") for _ in range(50))
@@ -37,16 +37,16 @@
         extra = sum(again.spend("svc") for _ in range(50))
         self.assertLessEqual(extra, spent / 2)
 
-    def test_a_restart_of_all_entries_stays_within_the_window(self):
-        # All entries are killed behind a burst of second sends, and start anew.
+    def test_restart_of_all_entries_stays_within_the_budget(self):
+        # All entries are killed after a burst of retries, and restart.
         clock = ManualClock()
         spent = 0
         for first_start in (True, False):
             budgets = [make(clock, first_start=first_start) for _ in range(7)]
-            spent += sum(one.spend("svc") for one in budgets for _ in range(50))
+            spent += sum(budget.spend("svc") for budget in budgets for _ in range(50))
         self.assertLessEqual(spent, SLACK)
 
-    def test_services_have_budgets_of_their_own(self):
+    def test_services_have_separate_budgets(self):
         clock = ManualClock()
         budget = make(clock)
         while budget.spend("a"):
