--- a/packages/gateway/src/fuchsiahatch_gateway/routes.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/routes.py
@@ -1,4 +1,4 @@
-"""Finding a request's route and team in the configuration in force."""
+"""Matching of requests to routes and teams of the active configuration."""
 
 import dataclasses
 import random
@@ -18,13 +18,13 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.caller_requests import CallerRequest
 
-#: Team of requests that need no key.
+#: Team of requests to routes that require no key.
 NO_TEAM = Team("", None)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Match:
-    """A request's route and team, and the version that they are of."""
+    """A request's route and team, and the version of their configuration."""
 
     route: Route
     team: Team
@@ -32,17 +32,17 @@
 
     @property
     def urgency(self) -> int:
-        """Rank of the request, 0 first; a team's own goes before its route's."""
+        """Priority class of the request, 0 first; the team's overrides the route's."""
         return self.route.urgency if self.team.urgency is None else self.team.urgency
 
 
 class RouteTable:
-    """The configuration in force.
+    """The active configuration, with its routes by host.
 
     Attributes
     ----------
     configuration : Configuration or None
-        None until the first one is read.
+        None until the first one is applied.
     """
 
     __slots__ = ("_by_host", "_era", "_value", "configuration")
@@ -54,20 +54,20 @@
         self._by_host: dict[str, list[Route]] = {}
 
     def apply(self, value: bytes, era: int = 0) -> bool:
-        """Take a configuration over whole, unless it is older; return whether.
+        """Activate a configuration unless it is outdated; return whether that was done.
 
         Parameters
         ----------
         value : bytes
         era : int, optional
-            Of the store, as it was read.
+            The store's era when the value was read.
 
         Notes
         -----
-        A stale read, a watch that begins anew or a store that came back from an older
-        copy may show an older version after a newer one: callers would see a route come
-        back that was dropped. Behind such a return the operator may have written
-        another configuration under the version that was lost; that one holds.
+        A stale read, a restarted watch or a store that was restored from a backup may
+        return an older version after a newer one, which would bring back a route that
+        was removed. After a restore (a later era), an operator may write another
+        configuration under a version number that was lost; that one is applied.
         """
         try:
             candidate = decode_configuration(value)
@@ -95,7 +95,7 @@
         return True
 
     def engine_of(self, service: str) -> Engine | None:
-        """Return how a service's model engines work; None for a plain service."""
+        """Return the engine settings of a service; None if it has no model engines."""
         configuration = self.configuration
         definition = (
             None if configuration is None else configuration.services.get(service)
@@ -108,13 +108,13 @@
         Raises
         ------
         RefusedError
-            When no configuration is known yet.
+            When no configuration was applied yet.
         RequestError
-            When no route matches, or the key is unknown.
+            When no route matches or the key is unknown.
         """
         configuration = self.configuration
         if configuration is None:
-            raise RefusedError("no configuration is known yet", Code.NOT_FRESH)
+            raise RefusedError("no configuration has been loaded yet", Code.NOT_FRESH)
         routes = self._by_host.get(request.host, ())
         route = next(
             (
@@ -135,7 +135,7 @@
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """Return one of the route's services by their weights."""
+    """Return one of the route's services, drawn by their weights."""
     if len(route.services) == 1:
         return route.services[0][0]
     services, weights = zip(*route.services, strict=True)
@@ -143,7 +143,7 @@
 
 
 def shortest_gap_ms(routes: t.Iterable[Route], service: str) -> int:
-    """Return the shortest pause between events that a service's routes allow, or 0."""
+    """Return the lowest event gap objective of a service's routes; 0 without any."""
     gaps = (
         route.gap_ms
         for route in routes
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -23,24 +23,24 @@
     def apply(self, version=1, **changes):
         return self.table.apply(dump(make_configuration(version, **changes)))
 
-    def test_without_a_configuration_nothing_is_denied(self):
+    def test_requests_are_refused_without_a_configuration(self):
         with self.assertRaises(RefusedError):
             self.table.match(request("/safe/"))
 
-    def test_versions_only_rise(self):
+    def test_only_a_newer_version_is_applied(self):
         self.assertTrue(self.apply(3))
         self.assertFalse(self.apply(3))
         self.assertFalse(self.apply(2))
         self.assertTrue(self.apply(9))
 
-    def test_a_teams_urgency_goes_before_its_routes(self):
+    def test_team_urgency_overrides_the_routes(self):
         document = make_configuration()
         document["tenants"][0]["priority"] = 0
         self.table.apply(dump(document))
         self.assertEqual(self.table.match(request("/safe/")).urgency, 0)
         self.assertEqual(self.table.match(request("/open/", "")).urgency, 1)
 
-    def test_hosts_and_prefixes_are_told_apart(self):
+    def test_host_and_prefix_must_match(self):
         self.apply()
         for path, host in (("/saf", HOST), ("/safe", HOST), ("/safe/", "other")):
             with self.assertRaises(RequestError):
@@ -52,14 +52,14 @@
         document = make_configuration(routes=list(routes))
         return decode_configuration(dump(document)).routes
 
-    def test_weights_are_kept(self):
+    def test_services_are_drawn_by_weight(self):
         split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
         (route,) = self.routes(make_route("/p/", "safe", backends=split))
         rng = random.Random(1)
         chosen = [choose_service(route, rng) for _ in range(2_000)]
         self.assertAlmostEqual(chosen.count("a") / 2_000, 0.9, delta=0.03)
 
-    def test_the_shortest_pause_of_a_services_routes(self):
+    def test_lowest_gap_objective_of_a_services_routes(self):
         routes = self.routes(
             make_route("/a/", "streaming", "m", gapAimMs=150),
             make_route("/b/", "streaming", "m", gapAimMs=120),
