--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -1,4 +1,4 @@
-"""Who is sent to an upstream now, who waits, and who is refused."""
+"""Assignment of requests to upstream slots: at once, after a wait, or refused."""
 
 import asyncio
 import dataclasses
@@ -14,11 +14,12 @@
     from fuchsiahatch_gateway.fleet import Fleet
     from fuchsiahatch_gateway.known_upstream import Upstream
 
-#: Requests that may wait at one entry for one service.
+#: Requests that may wait for a slot of a service at one entry.
 MAX_WAITING = 256
-#: Upstreams in need that are asked for a permit for one request, one after the other.
+#: Permits that are requested for one request, one after the other, from upstreams with
+#: a stated rate.
 MAX_PERMIT_REQUESTS = 3
-#: Cost of a request in the fair queue, whose unit doesn't matter here.
+#: Cost of a request in the fair queue. All cost the same, so the unit is arbitrary.
 QUEUE_COST = 1.0
 
 
@@ -29,14 +30,19 @@
 
 
 class Placer:
-    """Gives requests places at upstreams.
+    """Assigns requests to upstream slots.
+
+    A slot is room for one request at an upstream; log lines call slots `places`. An
+    upstream may state the rate of requests that it accepts, and then a request needs a
+    permit as well.
 
     Parameters
     ----------
     fleet : Fleet
     clock : Clock
     ask_permit : coroutine function, optional
-        Returns 0 where a request may go to an upstream now, or when to ask again.
+        Returns 0 if a request may go to the upstream now, or else the time in ms after
+        which to ask again.
     """
 
     __slots__ = ("_ask_permit", "_clock", "_fleet", "_numbers", "_queues", "_waiters")
@@ -56,7 +62,7 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._waiters)
 
     async def acquire(
@@ -67,13 +73,13 @@
         tried: t.Collection[str],
         wait_ms: float,
     ) -> "Upstream":
-        """Return an upstream with a place, which is taken; `release` frees it.
+        """Return an upstream with a slot reserved for the request; `release` frees it.
 
         Raises
         ------
         RefusedError
-            When there is none within the time to wait; at once where all upstreams
-            name a rate and none of them takes a request more now.
+            If no slot becomes free within `wait_ms`; at once if all upstreams state a
+            rate and none of them accepts another request now.
         """
         ends_ms = self._clock.now_ms() + wait_ms
         for _ in range(MAX_PERMIT_REQUESTS):
@@ -82,23 +88,23 @@
             upstream = await self._acquire_slot(service, team, urgency, tried, left_ms)
             if await self._request_permit(upstream):
                 return upstream
-        # Enough have been asked; one that names no rate may have a place.
+        # No more permits are requested; an upstream without a stated rate may be free.
         upstream = self._fleet.choose(service, tried, only_unlimited=True)
         if upstream is None:
             self._check_permits(service)
-            raise RefusedError("upstreams take no more now", Code.RATE_REACHED)
+            raise RefusedError("upstreams accept no more now", Code.RATE_REACHED)
         upstream.own += 1
         return upstream
 
     def _check_permits(self, service: str) -> None:
-        """Refuse at once what nobody could be sent to before a permit comes."""
+        """Refuse at once if no upstream accepts a request before a permit is due."""
         permit_ms = self._fleet.permit_wait_ms(service)
         if permit_ms is not None:
-            detail = "all upstreams take no more now"
+            detail = "no upstream accepts more requests now"
             raise RefusedError(detail, Code.RATE_REACHED, retry_after_ms=permit_ms)
 
     async def _request_permit(self, upstream: "Upstream") -> bool:
-        """Return whether a request may go there; give the place back if not."""
+        """Return whether a request may go there; release the slot if not."""
         if upstream.stated is None or self._ask_permit is None:
             return True
         try:
@@ -128,30 +134,30 @@
                 return upstream
         upstream = await self._wait(queue, service, team, urgency, tried, wait_ms)
         if not self.is_usable(upstream):
-            # It began to leave between the choice and this moment.
+            # It began to leave after the slot was assigned.
             self.release(upstream)
-            raise RefusedError("the upstream has left", Code.NO_LIVE_UPSTREAM)
+            raise RefusedError("the upstream is leaving", Code.NO_LIVE_UPSTREAM)
         return upstream
 
     def is_usable(self, upstream: "Upstream") -> bool:
-        """Return whether an upstream may still get new work."""
+        """Return whether an upstream may still receive new requests."""
         return self._fleet.is_usable(upstream)
 
     def has_free_slot(self, service: str) -> bool:
-        """Return whether a request would get a place at once.
+        """Return whether a request would get a slot at once.
 
-        At an upstream that names no rate: a stream under way isn't given up for one
-        that may have no permit left.
+        Only upstreams without a stated rate count: a stream in progress isn't abandoned
+        for one that may have no permit left.
         """
         return self._fleet.choose(service, (), only_unlimited=True) is not None
 
     def release(self, upstream: "Upstream") -> None:
-        """Free a place."""
+        """Free a slot and assign it to a waiting request."""
         upstream.own -= 1
         self.serve_waiting(upstream.entry.service)
 
     def serve_waiting(self, service: str | None = None) -> None:
-        """Give the places that are free to those who wait."""
+        """Assign free slots to waiting requests, of one service or of all."""
         services = list(self._queues) if service is None else [service]
         for name in services:
             queue = self._queues.get(name)
@@ -191,8 +197,9 @@
         if evicted is not None:
             self._refuse(evicted.ticket)
         try:
-            # Not wait_for: it hides that the caller has left when the place comes in
-            # the same turn of the loop, and the upstream would work for nobody.
+            # asyncio.wait_for would swallow the cancellation by a caller that
+            # disconnects in the same iteration of the loop in which the slot is
+            # assigned, and the upstream would work on an abandoned request.
             await asyncio.wait({waiter.future}, timeout=wait_ms / 1000)
         except asyncio.CancelledError:
             if waiter.future.done() and not waiter.future.exception():
@@ -208,5 +215,5 @@
     def _refuse(self, number: int) -> None:
         waiter = self._waiters.pop(number, None)
         if waiter is not None and not waiter.future.done():
-            fault = RefusedError("too many requests wait", Code.OVERLOADED)
+            fault = RefusedError("too many requests are waiting", Code.OVERLOADED)
             waiter.future.set_exception(fault)
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -20,7 +20,7 @@
     def acquire(self, team="t", urgency=1, wait_ms=500):
         return self.placer.acquire("svc", team, urgency, (), wait_ms)
 
-    def test_a_place_goes_to_who_waits(self):
+    def test_released_slot_goes_to_a_waiting_request(self):
         async def wait():
             first = await self.acquire()
             second = asyncio.ensure_future(self.acquire())
@@ -32,7 +32,7 @@
 
         self.assertEqual(run(wait()), 1)
 
-    def test_who_waits_too_long_is_refused(self):
+    def test_request_that_waits_too_long_is_refused(self):
         async def wait():
             await self.acquire()
             with self.assertRaises(RefusedError):
@@ -41,9 +41,9 @@
 
         self.assertEqual(run(wait()), (1, 0))
 
-    def test_a_caller_who_leaves_as_its_place_comes_leaves_it(self):
-        # An engine writes an answer for nobody, and one of its places is counted free
-        # twice: the caller left in the same turn of the loop in which it got a place.
+    def test_slot_is_released_if_its_caller_disconnects_when_it_is_assigned(self):
+        # The caller disconnects in the same iteration of the loop in which it gets a
+        # slot. The engine must not work on its request, nor the slot be freed twice.
         async def wait():
             first = await self.acquire()
             second = asyncio.ensure_future(self.acquire())
@@ -55,7 +55,7 @@
 
         self.assertEqual(run(wait()), (True, 0))
 
-    def test_an_upstream_that_began_to_leave_gets_nothing(self):
+    def test_leaving_upstream_gets_no_waiting_request(self):
         async def wait():
             first = await self.acquire()
             second = asyncio.ensure_future(self.acquire(wait_ms=100))
@@ -68,21 +68,21 @@
 
         self.assertEqual(run(wait()), 0)
 
-    def test_a_quiet_team_is_not_behind_a_flood(self):
+    def test_quiet_team_does_not_wait_for_the_queue_of_a_busy_team(self):
         async def wait():
-            place = await self.acquire()
+            slot = await self.acquire()
             order = []
 
-            async def one(team):
-                got = await self.acquire(team)
+            async def use_slot(team):
+                upstream = await self.acquire(team)
                 order.append(team)
-                self.placer.release(got)
+                self.placer.release(upstream)
 
-            tasks = [asyncio.ensure_future(one("flood")) for _ in range(20)]
+            tasks = [asyncio.ensure_future(use_slot("flood")) for _ in range(20)]
             await asyncio.sleep(0.01)
-            tasks.append(asyncio.ensure_future(one("quiet")))
+            tasks.append(asyncio.ensure_future(use_slot("quiet")))
             await asyncio.sleep(0.01)
-            self.placer.release(place)
+            self.placer.release(slot)
             await asyncio.gather(*tasks)
             return order.index("quiet")
 
