--- a/packages/gateway/src/fuchsiahatch_gateway/explain.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, out of log lines on standard input."""
+"""Explains how a request ended, from log lines on standard input."""
 
 import collections.abc
 import sys
@@ -6,25 +6,25 @@
 
 import orjson
 
-#: Events that may explain a request's end, with the words for an operator.
+#: Events that may explain how a request ended, with their descriptions.
 BACKGROUND = {
-    "store_lost": "the store gave no answer",
+    "store_lost": "the store did not answer",
     "store_regained": "the store answered again",
-    "history_lost": "the store forgot its history",
-    "configuration_applied": "a configuration came into force",
+    "history_lost": "the store lost its history",
+    "configuration_applied": "a configuration was applied",
     "upstream_gone": "an upstream's entry was removed",
     "upstream_leaving": "an upstream began to leave",
-    "upstream_misplaced": "another upstream answered at an address",
-    "upstream_crashed": "an upstream's process had ended",
-    "stopping": "the process was told to stop",
+    "upstream_misplaced": "another upstream answered at an upstream's address",
+    "upstream_crashed": "an upstream's process had crashed",
+    "stopping": "the process began to stop",
     "started": "the process started",
-    "internal_error": "a fault of our own",
+    "internal_error": "an internal error of the gateway",
 }
-#: Events about a request that is known by its fingerprint, at any entry.
+#: Events that name a request by its fingerprint; they count from any node.
 CRASH_LINES = ("crash_counted", "request_held", "suspect_cleared", "hold_written")
-#: Time before a request's end in which other events are shown.
+#: Time before the end of a request from which other events are shown.
 BACKGROUND_MS = 10_000
-#: Fields that say nothing of the request.
+#: Fields of every log line, which aren't repeated.
 _COMMON_FIELDS = frozenset(
     ("event", "message_type", "timestamp", "t_ms", "node", "role")
 )
@@ -33,7 +33,7 @@
 
 
 def read_lines(source: t.Iterable[str]) -> t.Iterator[Line]:
-    """Yield the log lines that can be read; what precedes the JSON is passed over."""
+    """Yield the log lines that parse; text before the JSON of a line is skipped."""
     for text in source:
         start = text.find("{")
         if start < 0:
@@ -49,7 +49,7 @@
 def explain_request(
     request_id: str, lines: collections.abc.Iterable[Line]
 ) -> list[str]:
-    """Return what the logs know of a request, a line each.
+    """Return the log lines that concern a request, as text in the order of time.
 
     Parameters
     ----------
@@ -78,7 +78,7 @@
 
 
 def _is_same_crash(line: Line, ended: Line) -> bool:
-    """Return whether a line tells of crashes under the same request."""
+    """Return whether a line reports a crash that the same request may have caused."""
     if line["message_type"] not in CRASH_LINES:
         return False
     return line.get("fingerprint") == ended.get("fingerprint")
@@ -95,7 +95,7 @@
 
 
 def explain(request_id: str) -> None:
-    """Print what the log lines on standard input say of one request.
+    """Print the log lines on standard input that concern one request.
 
     Parameters
     ----------
--- a/packages/gateway/src/fuchsiahatch_gateway/losses.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/losses.py
@@ -1,16 +1,16 @@
-"""What became of requests over time and why, added up from log lines."""
+"""Counts of how requests ended and why, per interval, from log lines."""
 
 import collections
 import typing as t
 
 from fuchsiahatch_gateway.explain import Line
 
-#: Time for a place beyond which waiting counts as the cause of a late answer.
+#: Wait for a slot above which the wait counts as the cause of a late answer.
 LONG_WAIT_MS = 100
-#: One in this many plain answers in time has a line.
+#: The log has a line for one in this many plain answers in time (see `RequestLog`).
 SUCCESS_SAMPLE = 20
 
-#: Causes in the order in which they are looked for; the first that fits counts.
+#: Causes in the order in which they are tested; the first that matches counts.
 _CAUSES: tuple[tuple[str, t.Callable[[Line], bool]], ...] = (
     ("in time", lambda line: _is_answered(line) and line.get("on_time", True)),
     ("caller left", lambda line: line["end"] == "caller left"),
@@ -27,18 +27,20 @@
 
 
 def cause_of(line: Line) -> str:
-    """Return what became of a request, by the line of its end."""
+    """Return the cause for a `request_ended` line."""
     return next(name for name, matches in _CAUSES if matches(line))
 
 
 def describe_losses(lines: t.Iterable[Line], span_ms: int) -> t.Iterator[str]:
-    """Yield a table of causes, a line for each spell, and one of all of them.
+    """Yield the counts of each cause, a line per interval and one for the total.
 
     Parameters
     ----------
     lines : iterable of dict
-        Of all entries. Their clocks may differ: spells are of the time of day.
+        Of all entries. The wall clock assigns a line to an interval, as the entries'
+        monotonic clocks differ.
     span_ms : int
+        Length of an interval.
     """
     intervals: dict[int, collections.Counter[str]] = {}
     for line in lines:
--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -11,14 +11,14 @@
 
 
 class TestExplain(unittest.TestCase):
-    def test_a_cut_streams_way_to_its_cause(self):
+    def test_cut_stream_is_shown_with_its_cause(self):
         lines = [
             line("upstream_leaving", 900, upstream="i-1"),
             line("upstream_leaving", 900, node="front-2", upstream="i-9"),
             line("attempt_retried", 1_500, request="q-1", upstream="i-1"),
             line("request_ended", 2_000, request="q-1", end="502"),
             line("request_ended", 2_100, request="q-2", end="answered"),
-            "not a line of ours",
+            "not a log line",
             "{broken",
         ]
         found = explain_request("q-1", read_lines(lines))
@@ -27,7 +27,7 @@
         self.assertIn("-500 ms  front-1  attempt retried", found[1])
         self.assertIn("request ended", found[2])
 
-    def test_a_held_request_shows_the_crashes_under_its_other_ids(self):
+    def test_held_request_shows_crashes_with_the_same_fingerprint(self):
         lines = [
             line("crash_counted", 900, node="front-2", fingerprint="f", crashes=3),
             line("crash_counted", 900, node="front-2", fingerprint="g", crashes=1),
@@ -37,5 +37,5 @@
         self.assertEqual(len(found), 2)
         self.assertIn("front-2  crash counted", found[0])
 
-    def test_a_request_that_no_line_names(self):
+    def test_unknown_request_mentions_sampling(self):
         self.assertIn("sampled", explain_request("q-9", [])[0])
--- a/tests/gateway/test_losses.py
+++ b/tests/gateway/test_losses.py
@@ -33,8 +33,8 @@
         ):
             self.assertEqual(cause_of(line), cause)
 
-    def test_spells_add_up_to_the_whole(self):
-        # An operator asks which seconds were bad and why, and has only the logs.
+    def test_intervals_add_up_to_the_total(self):
+        # Operators have only the logs to find out when requests failed and why.
         lines = [
             ended(10.0),
             ended(10.5, "503 no place came free"),
