--- a/packages/gateway/src/fuchsiahatch_gateway/request_log.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/request_log.py
@@ -1,4 +1,4 @@
-"""What becomes of requests, in the log and in the metrics."""
+"""Log lines and metrics for retries and ends of requests."""
 
 import random
 import typing as t
@@ -12,12 +12,12 @@
     from fuchsiahatch_gateway.known_upstream import Upstream
     from fuchsiahatch_gateway.request_metrics import RequestMetrics
 
-#: One in this many plain successes is logged; all that is not one is.
+#: One in this many plain successes is logged; every other end has a line.
 SUCCESS_SAMPLE = 20
 
 
 class RequestLog:
-    """Notes retries and ends.
+    """Logs retries and ends of requests.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
         self._rng = rng
 
     def note_end(self, job: "Job", end: str, outcome: "Outcome | None" = None) -> None:
-        """Note how a request ended; plain successes in time are logged by sample."""
+        """Record how a request ended; plain successes in time are logged by sample."""
         now_ms = self._clock.now_ms()
         self._metrics.note(job, end, now_ms)
         answered = outcome is not None and outcome.status < 400
@@ -63,10 +63,10 @@
         )
 
     def note_retry(self, job: "Job", upstream: "Upstream", outcome: "Outcome") -> None:
-        """Note that a request goes to another upstream.
+        """Record that a request goes to another upstream.
 
-        What the first was believed to have, and has by its latest report, tells one
-        that was full when it was chosen from one that is slow.
+        The first upstream's load when it was chosen and by its latest report show
+        whether it was full then or is slow.
         """
         now_ms = self._clock.now_ms()
         log_event(
--- a/packages/gateway/src/fuchsiahatch_gateway/request_metrics.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/request_metrics.py
@@ -8,13 +8,13 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_gateway.jobs import Job
 
-#: Upper bounds of the buckets.
+#: Upper bounds of the histograms' buckets.
 TIME_BUCKETS_MS = (5, 10, 25, 50, 100, 250, 500, 1_000, 2_500, 5_000, 10_000)
 GAP_BUCKETS_MS = (25, 50, 75, 100, 120, 150, 250, 500, 1_000, 2_000)
 
 
 class RequestMetrics:
-    """What became of callers' requests.
+    """Metrics of callers' requests.
 
     Parameters
     ----------
