--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One try of a request at one upstream."""
+"""One attempt to send a request to an upstream."""
 
 import asyncio
 import dataclasses
@@ -21,7 +21,7 @@
     from fuchsiahatch_gateway.known_upstream import Upstream
     from fuchsiahatch_http1.server import Exchange
 
-#: Answers to other requests that are passed over on one connection.
+#: Answers to other requests that are skipped on one connection.
 MAX_UNRELATED_ANSWERS = 4
 _MISPLACED = 421
 _UPSTREAM_FAILED = 500
@@ -31,25 +31,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """How a try ended.
+    """How an attempt ended.
 
     Attributes
     ----------
     result : Result
     detail : str
-        Why, for the log.
+        The reason, for the log.
     head : Head or None
-        Of the upstream's answer, where there is one.
+        Of the upstream's answer; None without one.
     body : bytes
-        Of a whole answer that was not passed on yet.
+        Of a complete answer that was not relayed yet.
     passed_on : bool
-        Whether the whole answer has gone to the caller already.
+        Whether the complete answer has been sent to the caller.
     cut : bool
-        Whether the upstream's end of the connection closed before a whole answer.
+        Whether the upstream closed the connection before its answer was complete.
     events_relayed : bool
-        Whether events of its answer were sent to the caller.
+        Whether events of its answer were relayed to the caller.
     group_crashed : bool
-        Whether the upstream, a rank of a group, crashed before any of them.
+        Whether the upstream, a rank of a group, crashed before any event was relayed.
     """
 
     result: Result
@@ -73,34 +73,36 @@
 
     @property
     def upstream_failed(self) -> bool:
-        """Whether the answer is a failure of the upstream's own."""
+        """Whether the answer is an error of the upstream."""
         return self.status >= _UPSTREAM_FAILED
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """What a try needs to know.
+    """Parameters and callbacks of an attempt.
 
     Attributes
     ----------
     upstream : Upstream
     team : str
     left_ms : int
-        Time that is left for the answer.
+        Time left for the answer.
     silence_ms : int or None
-        Silence after which the try may be given up; None to wait until the end.
+        Silence after which the attempt may be abandoned; None to wait until the
+        deadline.
     may_send : callable
-        Whether the upstream still takes requests.
+        Returns whether the upstream still accepts requests.
     may_give_up : callable
-        Whether the request could be sent again now.
+        Returns whether the request could be retried now.
     may_move : callable
-        Whether a stream under way could go on at another upstream now.
+        Returns whether a stream in progress could move to another upstream now.
     events : EventSplitter or None
-        For a stream, with what earlier upstreams sent of it.
+        For a stream, with the state left by earlier attempts.
     on_event : callable
-        Is called as events are passed on.
+        Called when events are relayed.
     on_head : callable
-        Is given the head of the upstream's own answer, as soon as it comes.
+        Called with the head of the upstream's answer when it arrives, unless another
+        upstream answered.
     """
 
     upstream: "Upstream"
@@ -122,8 +124,8 @@
 
     Notes
     -----
-    When the caller leaves or the time is over this is cancelled, and the connection is
-    reset: an upstream goes on working for a caller who has gone until then.
+    This is cancelled when the caller disconnects or the deadline passes. The connection
+    is reset then, as the upstream would otherwise go on working on the request.
     """
     address = attempt.upstream.entry.address
     try:
@@ -131,10 +133,10 @@
     except ConnectFailed as fault:
         return Outcome(Result.UNSENT, str(fault))
     if not attempt.may_send():
-        # It began to leave while the connection was opened, which takes up to the
-        # whole limit of a connect, and would end in the middle of the request.
+        # It began to leave while the connection was being opened, which may take the
+        # whole connect timeout, and might end in the middle of the request.
         connection.abort()
-        return Outcome(Result.UNSENT, "the upstream has left")
+        return Outcome(Result.UNSENT, "the upstream is leaving")
     try:
         outcome = await _send_and_receive(exchange, connection, attempt)
     except AnswerBroken as fault:
@@ -171,7 +173,8 @@
         return Outcome(Result.NOT_RUN, f"status {head.status}", head)
     succeeded = 200 <= head.status < 300
     if succeeded and head.header(names.SIGNATURE) is None:
-        # Not this upstream's: whatever it is, the caller must not take it for one.
+        # Without the signature the answer isn't from this upstream, and the caller must
+        # not take it for a success.
         return Outcome(Result.BROKEN, "a success without a signature", head)
     if succeeded and attempt.events is not None:
         return await _relay_events(exchange, connection, head, attempt)
@@ -180,10 +183,11 @@
 
 
 async def _matching_head(exchange: "Exchange", connection: ClientConnection) -> Head:
-    """Return the head of the answer to this request, past those of other requests.
+    """Return the head of the answer to this request; skip answers to other requests.
 
-    An upstream may send a second answer, late, where the answer to the next request on
-    the connection is due: a caller would get another caller's booking.
+    An upstream may send a second answer to an earlier request, which arrives where the
+    answer to the next request on the connection is expected. Without the check a caller
+    would get another caller's answer.
     """
     request_id = exchange.header(names.REQUEST_ID)
     for _ in range(MAX_UNRELATED_ANSWERS):
@@ -196,15 +200,15 @@
             return head
         await connection.body()
         connection.expect_another()
-    raise AnswerBroken("only other requests' answers came")
+    raise AnswerBroken("received only answers to other requests")
 
 
 async def _limit_silence(work: t.Coroutine[t.Any, t.Any, T], attempt: Attempt) -> T:
-    """Wait for what an upstream sends next, unless it is silent for too long.
+    """Wait for the next data of an upstream, unless it is silent for too long.
 
-    A rank group whose member has died stalls for seconds before it says so, and a
-    caller leaves after two: the request must be elsewhere by then. Where it can't be
-    sent again, a late answer is worth more than none.
+    A rank group with a dead member stalls for seconds before it reports that, and a
+    caller leaves after two, so the request has to move before that. If it can't be
+    retried, a late answer is better than none, and the wait goes on.
     """
     if attempt.silence_ms is None:
         return await work
@@ -227,8 +231,8 @@
             limit.reschedule(loop.time())
 
     try:
-        # Not wait_for: it hides that the caller has left when an event comes in the
-        # same turn of the loop.
+        # asyncio.wait_for would swallow the cancellation by a caller that disconnects
+        # in the same iteration of the loop in which an event arrives.
         async with asyncio.timeout(None) as limit:
             timer = loop.call_later(silence_s, note_silence)
             attempt.upstream.movers.add(move)
@@ -261,8 +265,9 @@
 
 
 def _write_events(exchange: "Exchange", head: Head, data: bytes) -> None:
-    # The head waits for the first event, so that a try that breaks before it leaves
-    # no trace. A resumed stream keeps the head of its first upstream.
+    # The head is sent with the first event, so that the caller sees nothing of an
+    # attempt that breaks before it. A resumed stream keeps the head of its first
+    # upstream.
     if not exchange.started:
         exchange.start(head.status, caller_headers(head.headers))
     exchange.write(data)
--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -1,4 +1,4 @@
-"""One caller's request from its head to its answer."""
+"""Handles a caller's request from its arrival to its answer."""
 
 import asyncio
 import random
@@ -40,7 +40,7 @@
     from fuchsiahatch_http1.client import ConnectionPool, Head
     from fuchsiahatch_http1.server import Exchange
 
-#: Time before the end of a request's time in which no further try is begun.
+#: Time left to the deadline below which no further attempt is started.
 MIN_ATTEMPT_MS = 30
 _STATUS = {
     Code.BAD_REQUEST: 400,
@@ -69,7 +69,7 @@
     clock : Clock
     rng : random.Random
     on_head : callable, optional
-        Is given an upstream and the head of each of its answers.
+        Called with an upstream and the head of each of its answers.
     """
 
     __slots__ = (
@@ -140,9 +140,9 @@
         try:
             request = decode_request(exchange)
         except ValueError as fault:
-            raise RequestError(f"a header can't be read: {fault}") from fault
+            raise RequestError(f"invalid request header: {fault}") from fault
         if not request.request_id:
-            raise RequestError("the request has no id")
+            raise RequestError("the request id is missing")
         match = self._routes.match(request)
         limit_ms = match.route.timeout_ms
         if request.deadline_ms is not None:
@@ -178,7 +178,7 @@
             return
 
     def _check_held(self, job: Job, upstream: "Upstream | None" = None) -> None:
-        """Refuse a request that crashes upstreams; give its place back if it has one.
+        """Refuse a held request, one that crashes upstreams; release its slot if given.
 
         Raises
         ------
@@ -189,7 +189,7 @@
             return
         if upstream is not None:
             self._placer.release(upstream)
-        detail = "upstreams have crashed under this request"
+        detail = "upstreams crashed while running this request"
         raise RefusedError(detail, Code.CRASHES_UPSTREAMS, retry_after_ms=held_ms)
 
     async def _note_answer_or_crash(
@@ -206,7 +206,7 @@
             self._crashes.note_silence(job.fingerprint, upstream)
 
     def _spend_retry(self, job: Job, outcome: Outcome) -> bool:
-        # Where no connection came about, the next send is the first that arrives.
+        # Without a connection nothing was sent, so the next attempt isn't a retry.
         return outcome.result is Result.UNSENT or self._budget.spend(job.service)
 
     async def _acquire_slot(self, job: Job) -> "Upstream":
@@ -244,7 +244,7 @@
         )
         was_started = job.exchange.started
         may_have_run = True
-        # Noted first, so that the log names it also where the time ends meanwhile.
+        # Recorded before the attempt, so that the log has it if the deadline passes.
         job.tried.append(upstream.entry.instance)
         job.load_then = upstream.load(sent_ms)
         job.report_age_ms = upstream.report_age_ms(sent_ms)
@@ -269,16 +269,16 @@
         self, job: Job, upstream: "Upstream"
     ) -> asyncio.TimerHandle | None:
         if job.events is not None:
-            # An agent tells of an engine, and all ranks of its group are late together.
+            # Agents report on engines, and all ranks of a group are late together.
             return None
         return self._late.expect(upstream, job.match.route.objective_ms)
 
     def _could_move(self, job: Job) -> bool:
-        # Only a stream: whatever else runs is nearly done.
+        # Streams only; any other request is nearly done.
         return job.events is not None and self._could_retry(job)
 
     def _could_retry(self, job: Job) -> bool:
-        # To the same upstream too: a connection may be silent where new ones work.
+        # The same upstream counts too: a connection may be stuck while new ones work.
         progress = self._progress(job, Outcome(Result.BROKEN))
         return (
             decide(Result.BROKEN, progress) is Step.RETRY
@@ -301,7 +301,7 @@
     def _progress(self, job: Job, outcome: Outcome) -> Progress:
         route = job.match.route
         left_ms = job.ends_ms - self._clock.now_ms()
-        # A stream that has begun can only go on behind an event with an id.
+        # A stream that has begun can only be resumed after an event with an id.
         begun = job.exchange.started and job.events is not None
         unresumable = begun and job.events is not None and job.events.last_id is None
         return Progress(
@@ -345,7 +345,7 @@
         self, exchange: "Exchange", fault: FuchsiahatchError, job: Job | None
     ) -> None:
         if job is not None and job.may_have_run and isinstance(fault, RefusedError):
-            # A refusal says that nothing ran, and no earlier try may be forgotten.
+            # A refusal states that nothing ran, but an earlier attempt may have run.
             fault = FuchsiahatchError(fault.detail, Code.UNKNOWN)
         status = _status_of(fault)
         if job is not None:
@@ -361,7 +361,7 @@
         if exchange.gone:
             return
         if exchange.started:
-            # Half an answer must not look whole.
+            # A partial answer must not look complete.
             exchange.abort()
             return
         headers = []
@@ -371,7 +371,7 @@
         exchange.respond(status, headers, f"{fault}\n".encode())
 
     def _retry_after_s(self, known_ms: int | None) -> float:
-        """Return when to come back: not before a time that is known, or some time."""
+        """Return the Retry-After time, with jitter; never before a known time."""
         earliest, latest = RETRY_AFTER_SPREAD
         if known_ms is not None:
             return known_ms / 1000 * self._rng.uniform(1.0, latest)
@@ -383,9 +383,10 @@
 
 
 def _fingerprint_of(exchange: "Exchange", host: str, team: str) -> str:
-    """Return what tells a team's request again under another id, at each entry.
+    """Return the fingerprint of a team's request, the same at each entry.
 
-    Headers don't count: callers draw some of them anew.
+    It identifies the request when it is sent again under another id. Headers are left
+    out, as callers change some of them each time.
     """
     method, target = (
         exchange.method.decode("latin-1"),
--- a/tests/gateway/delivery_model.py
+++ b/tests/gateway/delivery_model.py
@@ -1,8 +1,8 @@
-"""The real delivery between scripted upstreams and callers, in virtual time.
+"""Runs the real delivery between simulated callers and upstreams, in virtual time.
 
-One scenario is a list of requests, of what each upstream does with what arrives there,
-and of upstreams that leave. `find_faults` plays it and returns each promise that was
-not kept. The connections are the real ones; only the bytes' way is played.
+A scenario lists the requests, the upstreams' reactions to the requests that arrive, and
+the upstreams that leave. `find_faults` runs it and returns each violated invariant. The
+connection classes are the real ones; only the transport is simulated.
 """
 
 import asyncio
@@ -23,17 +23,17 @@
 from fuchsiahatch_standins.fleet_store import make_upstream_item
 from fuchsiahatch_standins.virtual_time import run_virtually
 from tests import loopback  # noqa: F401  (installs the reactor)
-from tests.gateway.played_upstreams import EVENTS, FIRST_PORT, Act, PlayedPool, Run
+from tests.gateway.played_upstreams import EVENTS, FIRST_PORT, Act, Run, SimulatedPool
 from tests.gateway.sites import HOST, KEY, make_configuration, make_route
 
 TIMEOUT_MS = 1_200
-#: Time for which an upstream may go on working for a caller who has left.
+#: Time for which an upstream may go on working after the caller has disconnected.
 GONE_MS = 50
-#: Time behind a request's own in which its final answer must be out.
+#: Time after a request's deadline within which its final answer must be sent.
 FINAL_MS = 50
-#: Milliseconds by which whole ones may differ.
+#: Tolerance for times that are rounded to milliseconds.
 ROUNDING_MS = 2
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 ROUTES = [
     make_route("/safe/", "safe", timeoutMs=TIMEOUT_MS),
     make_route("/twice/", "unsafe", timeoutMs=TIMEOUT_MS, maxAttempts=3),
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ask:
-    """One caller's request; `leaves_ms` is counted from its start."""
+    """One caller's request; `leaves_ms` is relative to its start."""
 
     path: str
     at_ms: int
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """What happens; `acts` are used up in the order of arrival."""
+    """What happens in a run; `acts` are consumed in the order of arrival."""
 
     asks: tuple[Ask, ...]
     acts: tuple[tuple[Act, int], ...]
@@ -66,8 +66,8 @@
     slack: float = 90.0
 
 
-class PlayedExchange:
-    """A caller's request and what the caller got of its answer."""
+class SimulatedExchange:
+    """A caller's request and the answer that the caller received."""
 
     method = b"POST"
     body = b"the body"
@@ -106,7 +106,7 @@
         self.answer_headers = {name.lower(): value for name, value in headers}
 
     def write(self, data):
-        assert not self.finished, "bytes behind the end"
+        assert not self.finished, "bytes after the end"
         self.answer += data
 
     def finish(self):
@@ -120,7 +120,7 @@
 
 
 class World:
-    """One scenario as it is played, and what was noted of it."""
+    """The run of one scenario, with its state and the violations found."""
 
     def __init__(self, scenario, loop):
         self.scenario = scenario
@@ -133,7 +133,7 @@
         rng = random.Random(1)
         routes = RouteTable()
         routes.apply(orjson.dumps(make_configuration(1, ROUTES)))
-        self.pool = PlayedPool(self, self.clock)
+        self.pool = SimulatedPool(self, self.clock)
         self.fleet = Fleet("kl-a", self.clock, rng)
         self.fleet.on_gone = lambda entry: self.pool.forget(
             entry.address.ip, entry.address.port
@@ -181,7 +181,7 @@
         run = Run(request_id, path, path in STREAMS, upstream, now_ms)
         run.signature = f"sig-{len(self.runs)}"
         run.first_event = int(headers.get("last-event-id", 0)) + 1
-        if body != PlayedExchange.body or headers["fuchsiahatch-tenant"] != "team-a":
+        if body != SimulatedExchange.body or headers["fuchsiahatch-tenant"] != "team-a":
             self.faults.append(f"{request_id} was changed on its way")
         if headers["fuchsiahatch-expect-instance"] != f"i-{upstream}":
             self.faults.append(f"{request_id} went to another upstream")
@@ -192,24 +192,24 @@
 
     async def play(self):
         exchanges = [
-            PlayedExchange(number, ask.path)
+            SimulatedExchange(number, ask.path)
             for number, ask in enumerate(self.scenario.asks)
         ]
         works = [
             self._ask(ask, exchange)
             for ask, exchange in zip(self.scenario.asks, exchanges, strict=True)
         ]
-        leaves = [self._leave(*one) for one in self.scenario.leaving]
+        leaves = [self._leave(*leaving) for leaving in self.scenario.leaving]
         await asyncio.gather(*works, *leaves)
         await asyncio.sleep(3)
         for ask, exchange in zip(self.scenario.asks, exchanges, strict=True):
             self._check_answer(exchange)
-            self._check_patience(exchange, ask.at_ms + TIMEOUT_MS)
-        self._check_rest()
-        others = asyncio.all_tasks() - {asyncio.current_task()}
-        for task in others:
+            self._check_abandoned(exchange, ask.at_ms + TIMEOUT_MS)
+        self._check_final_state()
+        remaining = asyncio.all_tasks() - {asyncio.current_task()}
+        for task in remaining:
             task.cancel()
-        await asyncio.gather(*others, return_exceptions=True)
+        await asyncio.gather(*remaining, return_exceptions=True)
         return self.faults
 
     async def _ask(self, ask, exchange):
@@ -230,7 +230,7 @@
         await asyncio.sleep(GONE_MS / 1000)
         for run in self.runs:
             if run.request_id == exchange.request_id and run.working:
-                self.faults.append(f"{exchange.request_id} is worked on for nobody")
+                self.faults.append(f"{exchange.request_id} outlived its caller")
 
     async def _leave(self, upstream, at_ms):
         await asyncio.sleep(at_ms / 1000)
@@ -264,7 +264,7 @@
             self.faults.append(f"{name} ran at more upstreams than its route allows")
         if exchange.gone:
             return
-        if exchange.status in PROMISES and ran:
+        if exchange.status in NOT_RUN_STATUSES and ran:
             self.faults.append(f"{name} got {exchange.status} and has run")
         if not (exchange.finished or exchange.aborted):
             self.faults.append(f"{name} has no end")
@@ -273,16 +273,16 @@
         elif exchange.aborted:
             self.faults.append(f"{name} was cut before its answer had begun")
 
-    def _check_patience(self, exchange, ends_ms):
-        """A silent upstream is given up only for another one."""
+    def _check_abandoned(self, exchange, ends_ms):
+        """A silent upstream is abandoned only for a retry."""
         runs = [run for run in self.runs if run.request_id == exchange.request_id]
         if exchange.gone or not runs:
             return
         if runs[-1].spoiled or runs[-1].act is Act.UNSIGNED:
             return
-        broken_off_ms = runs[-1].broken_off_ms
-        if broken_off_ms is not None and broken_off_ms < ends_ms - ROUNDING_MS:
-            self.faults.append(f"{exchange.request_id} was broken off for nothing")
+        aborted_ms = runs[-1].aborted_ms
+        if aborted_ms is not None and aborted_ms < ends_ms - ROUNDING_MS:
+            self.faults.append(f"{exchange.request_id} was abandoned without a retry")
 
     def _check_success(self, exchange, ran):
         name = exchange.request_id
@@ -303,14 +303,14 @@
         if exchange.answer not in allowed:
             self.faults.append(f"{exchange.request_id}: events {exchange.answer!r}")
 
-    def _check_rest(self):
+    def _check_final_state(self):
         if self.placer.waiting:
-            self.faults.append("somebody waits for ever")
+            self.faults.append("a request waits forever")
         for instance, upstream in self.fleet.upstreams.items():
             if upstream.own:
                 self.faults.append(f"{instance} has lost {upstream.own} places")
 
 
 def find_faults(scenario):
-    """Play a scenario and return what was not kept."""
+    """Run a scenario and return the violated invariants."""
     return run_virtually(lambda loop: World(scenario, loop).play())
--- a/tests/gateway/played_upstreams.py
+++ b/tests/gateway/played_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that are played: the far ends of the real connections to them."""
+"""Simulated upstreams, the remote ends of the gateway's real connections."""
 
 import asyncio
 import dataclasses
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass
 class Run:
-    """One request at one upstream."""
+    """The run of one request at one upstream."""
 
     request_id: str
     path: str
@@ -52,8 +52,8 @@
     act: Act = Act.ANSWER
     first_event: int = 1
     ran: bool = False
-    broken_off_ms: int | None = None
-    #: Whether a second answer to an earlier request came into its own.
+    aborted_ms: int | None = None
+    #: Whether a second answer to an earlier request was sent during its answer.
     spoiled: bool = False
     working: bool = True
     body: bytes = b""
@@ -61,7 +61,7 @@
 
 
 class Wire:
-    """Transport of one connection to an upstream, whose end it plays."""
+    """Transport of one connection, which simulates the upstream behind it."""
 
     def __init__(self, world, upstream):
         self._world = world
@@ -72,7 +72,7 @@
         self.client = None
         self.run = None
 
-    # What the client's connection asks of a transport.
+    # The transport's interface that the client's connection uses.
 
     def setTcpNoDelay(self, enabled):
         pass
@@ -88,10 +88,10 @@
 
     def abortConnection(self):
         if self.run is not None and self.run.working:
-            self.run.broken_off_ms = self._world.clock.now_ms()
+            self.run.aborted_ms = self._world.clock.now_ms()
         self._end(error.ConnectionAborted())
 
-    # What the upstream does.
+    # The upstream's behaviour.
 
     async def _serve(self):
         request, body = self._server.next_event(), b""
@@ -179,10 +179,10 @@
         self._next_cycle()
 
     def _begin(self, run, status, headers, signed=True):
-        own = [("Fuchsiahatch-Request-Id", run.request_id)]
+        run_headers = [("Fuchsiahatch-Request-Id", run.request_id)]
         if signed and status < 400:
-            own.append(("Fuchsiahatch-Response-Signature", run.signature))
-        response = h11.Response(status_code=status, headers=[*own, *headers])
+            run_headers.append(("Fuchsiahatch-Response-Signature", run.signature))
+        response = h11.Response(status_code=status, headers=[*run_headers, *headers])
         self._send(response)
 
     def _next_cycle(self):
@@ -195,7 +195,7 @@
             self._push(self._server.send(event))
 
     def _push(self, data):
-        # No bytes at all would be the connection's end.
+        # Empty data would signal the end of the connection.
         if self.open and data:
             self.client.dataReceived(data)
 
@@ -223,8 +223,8 @@
     )
 
 
-class PlayedPool(ConnectionPool):
-    """The real pool, whose new connections lead to played upstreams."""
+class SimulatedPool(ConnectionPool):
+    """The real pool, with new connections that lead to simulated upstreams."""
 
     def __init__(self, world, clock):
         super().__init__(clock, CONNECT_MS)
--- a/tests/gateway/test_delivery.py
+++ b/tests/gateway/test_delivery.py
@@ -30,40 +30,40 @@
 
 
 async def ask_one(path, *scripts, **options):
-    one = upstream(*scripts)
-    async with Site(one) as site:
-        return await site.ask(path, **options), one
+    server = upstream(*scripts)
+    async with Site(server) as site:
+        return await site.ask(path, **options), server
 
 
-def make_load(one, pace, running=0):
-    address = str(one.entry.address)
+def make_load(server, pace, running=0):
+    address = str(server.entry.address)
     return LoadReport(address, 0, running, pace, True, "g", 50.0)
 
 
 class TestPlainAnswers(unittest.TestCase):
-    def test_an_answer_comes_back_unchanged(self):
-        reply, one = run(
+    def test_answer_is_relayed_unchanged(self):
+        reply, server = run(
             ask_one("/safe/x?y=1", answers(201, b"a body", **{"X-Own": "kept"}))
         )
         self.assertEqual((reply.status, reply.body), (201, b"a body"))
         self.assertEqual(reply.headers["x-own"], "kept")
         self.assertEqual(reply.headers["fuchsiahatch-response-signature"], "sig-1")
-        (request,) = one.received
+        (request,) = server.received
         self.assertEqual((request.method, request.target), ("POST", "/safe/x?y=1"))
 
-    def test_a_upstream_is_shown_the_team_and_never_the_key(self):
+    def test_upstream_receives_the_team_but_not_the_key(self):
         forged = [("Fuchsiahatch-Tenant", "team-b"), ("X-Other", "1")]
-        _, one = run(ask_one("/safe/", answers(), headers=forged))
-        headers = one.received[0].headers
+        _, server = run(ask_one("/safe/", answers(), headers=forged))
+        headers = server.received[0].headers
         self.assertEqual(headers["fuchsiahatch-tenant"], "team-a")
         self.assertEqual(headers["x-other"], "1")
         self.assertNotIn("authorization", headers)
         self.assertEqual(headers["fuchsiahatch-expect-instance"], "i-0")
         self.assertLessEqual(int(headers["fuchsiahatch-deadline-ms"]), 1_400)
 
-    def test_a_body_reaches_the_upstream_whole(self):
-        _, one = run(ask_one("/safe/", answers(), body=b"x" * 300_000))
-        self.assertEqual(one.received[0].body, b"x" * 300_000)
+    def test_large_body_is_sent_complete(self):
+        _, server = run(ask_one("/safe/", answers(), body=b"x" * 300_000))
+        self.assertEqual(server.received[0].body, b"x" * 300_000)
 
     def test_unknown_routes_and_keys_are_denied(self):
         async def asks():
@@ -78,17 +78,17 @@
         statuses = [reply.status for reply in run(asks())]
         self.assertEqual(statuses, [404, 401, 401, 200])
 
-    def test_a_upstreams_own_failure_is_passed_on(self):
+    def test_error_of_an_upstream_is_relayed(self):
         reply, _ = run(ask_one("/hold/", answers(500, b"failed")))
         self.assertEqual((reply.status, reply.body), (500, b"failed"))
 
-    def test_the_longest_prefix_selects(self):
+    def test_longest_matching_prefix_selects_the_route(self):
         async def asks():
-            one, other = (
+            server, other = (
                 upstream(answers(body=b"short")),
                 upstream(answers(body=b"long")),
             )
-            async with Site(one) as site:
+            async with Site(server) as site:
                 await site.add_upstream("i-9", other, service="other")
                 routes = [
                     make_route("/safe/", "safe"),
@@ -104,41 +104,41 @@
 
 
 class TestAtMostOnce(unittest.TestCase):
-    def test_a_hold_whose_answer_is_lost_is_not_sent_again(self):
-        # A trainer is booked twice for one hour: the upstream ran the hold, its answer
-        # was lost, and the balancer sent the hold to a second upstream.
+    def test_unsafe_request_whose_answer_is_lost_is_not_retried(self):
+        # A retry would book a trainer twice: the first upstream ran the hold and only
+        # its answer was lost.
         async def asks():
             upstreams = [upstream(resets), upstream(resets)]
             async with Site(*upstreams) as site:
                 reply = await site.ask("/twice/")
-                return reply, sum(len(one.received) for one in upstreams)
+                return reply, sum(len(server.received) for server in upstreams)
 
         reply, sends = run(asks())
         self.assertEqual(sends, 1)
-        # 503 would say that it has not run.
+        # 503 would mean that the request did not run.
         self.assertEqual(reply.status, 502)
 
-    def test_a_hold_that_was_not_run_may_go_to_a_second_upstream(self):
-        reply, one = run(ask_one("/twice/", refuses(), answers()))
-        self.assertEqual((reply.status, len(one.received)), (200, 2))
+    def test_unsafe_request_that_was_not_run_is_retried(self):
+        reply, server = run(ask_one("/twice/", refuses(), answers()))
+        self.assertEqual((reply.status, len(server.received)), (200, 2))
 
-    def test_a_refused_hold_says_when_to_come_back(self):
+    def test_refusal_has_a_retry_after_header(self):
         reply, _ = run(ask_one("/hold/", refuses()))
         self.assertEqual(reply.status, 503)
         self.assertGreater(float(reply.headers["retry-after"]), 0)
 
-    def test_a_safe_request_is_sent_again(self):
+    def test_safe_request_is_retried(self):
         for first in (resets, answers(500, b"failed"), refuses()):
-            reply, one = run(ask_one("/safe/", first, answers()))
-            self.assertEqual((reply.status, len(one.received)), (200, 2))
+            reply, server = run(ask_one("/safe/", first, answers()))
+            self.assertEqual((reply.status, len(server.received)), (200, 2))
 
-    def test_no_more_upstreams_than_the_route_allows(self):
-        reply, one = run(ask_one("/safe/", resets))
-        self.assertEqual((reply.status, len(one.received)), (502, 2))
+    def test_attempts_are_limited_by_the_route(self):
+        reply, server = run(ask_one("/safe/", resets))
+        self.assertEqual((reply.status, len(server.received)), (502, 2))
 
-    def test_no_place_after_a_send_is_no_refusal(self):
-        # A caller is told that nothing ran, and a first try had run: its answer was
-        # lost, and then there was no place for a second one.
+    def test_no_slot_after_an_attempt_is_not_reported_as_a_refusal(self):
+        # A refusal states that nothing ran, but the first attempt ran: its answer was
+        # lost, and no slot was free for a second attempt.
         async def asks():
             async def goes_and_resets(request, wire):
                 site.store.remove("servers/i-0")
@@ -150,42 +150,43 @@
 
         self.assertEqual(run(asks()), 502)
 
-    def test_time_over_after_a_send_is_no_refusal(self):
-        # The caller of a hold is told "not run", books elsewhere, and the first
-        # upstream's booking comes through after all.
+    def test_timeout_after_an_attempt_is_not_reported_as_a_refusal(self):
+        # A caller who got "not run" would book elsewhere, while the first upstream may
+        # still complete the booking.
         reply, _ = run(ask_one("/hold/", waits, headers=[]))
         self.assertEqual(reply.status, 504)
 
 
-class TestMixedAnswers(unittest.TestCase):
-    def test_a_late_second_answer_reaches_nobody(self):
-        # A member reads another member's booking: an upstream sends a second answer to
-        # the first request, and it lies where the second one's answer is due.
+class TestMismatchedAnswers(unittest.TestCase):
+    def test_late_second_answer_is_dropped(self):
+        # A caller would get another caller's answer: the upstream answers the first
+        # request twice on a kept connection, and the second answer is received where
+        # the answer to the next request is expected.
         async def doubled(request, wire):
             await wire.answer(request, body=b"first")
             await asyncio.sleep(0.05)
             await wire.answer(request, body=b"first again")
 
         async def asks():
-            one = upstream(doubled, answers(body=b"second"))
-            async with Site(one) as site:
+            server = upstream(doubled, answers(body=b"second"))
+            async with Site(server) as site:
                 replies = [await site.ask("/safe/", request_id="q-1")]
                 replies.append(await site.ask("/safe/", request_id="q-2"))
                 return [reply.body for reply in replies]
 
         self.assertEqual(run(asks()), [b"first", b"second"])
 
-    def test_a_strangers_answer_before_ours_is_passed_over(self):
-        # As above, with the second answer in the same packet as the wanted one.
-        async def stranger_first(request, wire):
+    def test_answer_to_another_request_is_skipped(self):
+        # As above, with the second answer in the same packet as the expected one.
+        async def other_answer_first(request, wire):
             other = type(request)("POST", "/", {"fuchsiahatch-request-id": "q-0"}, b"")
             await wire.answer(other, body=b"another caller's")
             await wire.answer(request, body=b"own")
 
-        reply, _ = run(ask_one("/hold/", stranger_first))
+        reply, _ = run(ask_one("/hold/", other_answer_first))
         self.assertEqual((reply.status, reply.body), (200, b"own"))
 
-    def test_a_success_without_a_signature_is_none(self):
+    def test_success_without_a_signature_is_rejected(self):
         async def unsigned(request, wire):
             head = (
                 f"HTTP/1.1 200 OK\r\nFuchsiahatch-Request-Id: {request.request_id}\r\n"
@@ -195,7 +196,7 @@
         reply, _ = run(ask_one("/hold/", unsigned))
         self.assertEqual(reply.status, 502)
 
-    def test_a_cut_body_is_no_answer(self):
+    def test_truncated_body_is_rejected(self):
         async def cut(request, wire):
             head = (
                 f"HTTP/1.1 200 OK\r\nFuchsiahatch-Request-Id: {request.request_id}\r\n"
@@ -207,7 +208,7 @@
         reply, _ = run(ask_one("/hold/", cut))
         self.assertEqual(reply.status, 502)
 
-    def test_a_body_without_a_length_ends_with_its_connection(self):
+    def test_body_without_a_length_ends_at_the_close_but_not_at_a_reset(self):
         def unframed(end):
             async def script(request, wire):
                 head = begin_head(request)
@@ -225,7 +226,7 @@
         reply, _ = run(ask_one("/hold/", unframed("reset")))
         self.assertEqual(reply.status, 502)
 
-    def test_bytes_that_are_no_answer_are_not_passed_on(self):
+    def test_malformed_answer_is_not_relayed(self):
         async def garbage(request, wire):
             await wire.raw(b"\x00\x01 not an answer\r\n\r\n")
 
@@ -234,7 +235,7 @@
 
 
 class TestStreams(unittest.TestCase):
-    def test_events_come_as_they_are_made(self):
+    def test_events_are_relayed_as_they_arrive(self):
         async def asks():
             async def slow(request, wire):
                 await wire.begin_stream(request)
@@ -255,8 +256,8 @@
         self.assertEqual(event_ids(reply.body), [1, 2])
         self.assertTrue(reply.whole)
 
-    def test_a_stream_goes_on_at_another_upstream(self):
-        # A skipper's brief stops midway: its upstream was reset between two events.
+    def test_interrupted_stream_is_resumed_at_another_upstream(self):
+        # The first upstream resets the connection between two events.
         async def asks():
             upstreams = [
                 upstream(streams(1, 3, end=False), streams(4, 6)) for _ in "ab"
@@ -264,7 +265,7 @@
             upstreams[1]._scripts = upstreams[0]._scripts
             async with Site(*upstreams) as site:
                 reply = await site.ask("/chat/")
-                sent = [one for each in upstreams for one in each.received]
+                sent = [request for server in upstreams for request in server.received]
                 return reply, sent
 
         reply, sent = run(asks())
@@ -273,9 +274,9 @@
         last_ids = {request.headers.get("last-event-id") for request in sent}
         self.assertEqual(last_ids, {None, "3"})
 
-    def test_a_silent_stream_goes_on_elsewhere(self):
-        # A skipper leaves after two seconds without a word: one rank of the group has
-        # died, and the others stand still for 1.5 s before they say so.
+    def test_silent_stream_moves_to_another_upstream(self):
+        # Callers leave a stream after two seconds without an event. When a rank of a
+        # group dies, the other ranks stall for 1.5 s before they report it.
         async def stalls(request, wire):
             await wire.begin_stream(request)
             await wire.event(1)
@@ -286,9 +287,10 @@
         self.assertEqual(event_ids(reply.body), [1, 2, 3, 4])
         self.assertTrue(reply.whole)
 
-    def test_a_stream_leaves_a_rank_that_became_slow(self):
-        # Every stream of a service stumbles until the last one on a slow engine has
-        # ended, 24 passes later: all ranks of its group wait for its step in each pass.
+    def test_stream_moves_away_from_a_rank_that_became_slow(self):
+        # All ranks of a group wait for the slowest step in each pass, so one slow
+        # engine delayed every stream of the service until its last stream had ended,
+        # 24 passes later.
         async def crawls(request, wire):
             await wire.begin_stream(request)
             await wire.event(1)
@@ -311,27 +313,27 @@
                 (moved,) = sound.received
                 return Reply(begun + rest), moved.headers.get("last-event-id")
 
-        reply, resumed_behind = run(asks())
+        reply, resumed_after = run(asks())
         self.assertEqual(event_ids(reply.body), [1, 2, 3, 4])
         self.assertTrue(reply.whole)
-        self.assertEqual(resumed_behind, "1")
+        self.assertEqual(resumed_after, "1")
 
-    def test_a_silent_upstream_costs_half_of_the_time(self):
-        # A cancellation notice is lost with an upstream that takes it and is silent.
-        reply, one = run(ask_one("/safe/", waits, answers()))
-        self.assertEqual((reply.status, len(one.received)), (200, 2))
+    def test_silent_upstream_is_abandoned_after_half_of_the_time(self):
+        # An upstream that accepts a request and sends nothing must not use up its time.
+        reply, server = run(ask_one("/safe/", waits, answers()))
+        self.assertEqual((reply.status, len(server.received)), (200, 2))
 
-    def test_a_stream_whose_second_upstream_fails_ends_broken(self):
-        # A brief ends with the text of an error in its midst.
+    def test_stream_is_cut_if_the_second_upstream_fails(self):
+        # Otherwise the body of the error would become part of the stream.
         cut, failed = streams(1, 3, end=False), answers(500, b"failed")
-        reply, one = run(ask_one("/chat/", cut, failed))
-        self.assertEqual(len(one.received), 2)
+        reply, server = run(ask_one("/chat/", cut, failed))
+        self.assertEqual(len(server.received), 2)
         self.assertFalse(reply.whole)
         self.assertNotIn(b"failed", reply.body)
 
-    def test_half_an_event_is_dropped(self):
-        # A brief has the start of one sentence twice: half an event was passed on,
-        # and the next upstream sent it again from its beginning.
+    def test_partial_event_is_dropped_on_resume(self):
+        # If a partial event is relayed, its start occurs twice in the stream, as the
+        # next upstream sends the event again in full.
         async def cut_inside(request, wire):
             await wire.begin_stream(request)
             await wire.event(1)
@@ -343,40 +345,40 @@
         self.assertEqual(event_ids(reply.body), [1, 2, 3])
         self.assertTrue(reply.whole)
 
-    def test_a_stream_that_may_not_be_resumed_ends_broken(self):
-        # Half a brief looks like a whole one: its end was sent for a broken stream.
-        reply, one = run(ask_one("/brief/", streams(1, 3, end=False), streams(4, 6)))
+    def test_stream_that_is_not_resumable_is_cut(self):
+        # A regular end of an interrupted stream would make it look complete.
+        reply, server = run(ask_one("/brief/", streams(1, 3, end=False), streams(4, 6)))
         self.assertFalse(reply.whole)
-        self.assertEqual(len(one.received), 1)
+        self.assertEqual(len(server.received), 1)
 
-    def test_a_stream_that_never_began_is_refused_or_failed(self):
-        reply, one = run(ask_one("/brief/", refuses()))
-        self.assertEqual((reply.status, len(one.received)), (503, 2))
-        reply, one = run(ask_one("/brief/", resets))
-        self.assertEqual((reply.status, len(one.received)), (502, 1))
+    def test_stream_without_a_first_event_is_refused_or_fails(self):
+        reply, server = run(ask_one("/brief/", refuses()))
+        self.assertEqual((reply.status, len(server.received)), (503, 2))
+        reply, server = run(ask_one("/brief/", resets))
+        self.assertEqual((reply.status, len(server.received)), (502, 1))
 
 
-class TestCallersWhoLeave(unittest.TestCase):
-    def test_an_upstreams_work_ends_with_its_caller(self):
-        # Engines write answers for members who have left: the connection to the
-        # upstream stayed open after the caller's was closed.
+class TestDisconnectedCallers(unittest.TestCase):
+    def test_upstream_connection_closes_when_the_caller_disconnects(self):
+        # If the connection stays open, the engine goes on generating an answer that
+        # nobody reads.
         async def asks():
-            one = upstream(waits)
-            async with Site(one) as site:
+            server = upstream(waits)
+            async with Site(server) as site:
                 _, writer = await asyncio.open_connection("127.0.0.1", site.port)
                 writer.write(encode_request("/chat/"))
-                await until(lambda: one.received)
+                await until(lambda: server.received)
                 writer.close()
-                await until(lambda: one.left, 0.4)
-                (known,) = site.entry.fleet.upstreams.values()
-                return known.own
+                await until(lambda: server.left, 0.4)
+                (record,) = site.entry.fleet.upstreams.values()
+                return record.own
 
         self.assertEqual(run(asks()), 0)
 
-    def test_a_request_that_waits_is_forgotten_with_its_caller(self):
+    def test_waiting_request_is_dropped_when_its_caller_disconnects(self):
         async def asks():
-            one = upstream(waits)
-            async with Site(one) as site:
+            server = upstream(waits)
+            async with Site(server) as site:
                 writers = []
                 for number in range(7):
                     _, writer = await asyncio.open_connection("127.0.0.1", site.port)
@@ -384,7 +386,7 @@
                     writers.append(writer)
                     await until(
                         lambda n=number: (
-                            len(one.received) == min(n + 1, 6)
+                            len(server.received) == min(n + 1, 6)
                             and site.entry.placer.waiting == n // 6
                         )
                     )
@@ -392,16 +394,16 @@
                 await until(lambda: not site.entry.placer.waiting)
                 for writer in writers:
                     writer.close()
-                (known,) = site.entry.fleet.upstreams.values()
-                await until(lambda: known.own == 0)
-                return len(one.received)
+                (record,) = site.entry.fleet.upstreams.values()
+                await until(lambda: record.own == 0)
+                return len(server.received)
 
         self.assertEqual(run(asks()), 6)
 
 
-class TestUpstreamsThatLeave(unittest.TestCase):
-    def test_a_leaving_upstream_gets_nothing_new(self):
-        # A booking is lost with an upstream that had said long before that it leaves.
+class TestLeavingUpstreams(unittest.TestCase):
+    def test_leaving_upstream_gets_no_new_requests(self):
+        # A request sent to an upstream that has announced its end is lost with it.
         async def asks():
             old, new = upstream(answers(body=b"old")), upstream(answers(body=b"new"))
             async with Site(old, new) as site:
@@ -411,9 +413,9 @@
 
         self.assertEqual(set(run(asks())), {b"new"})
 
-    def test_another_upstream_at_the_address_is_noticed(self):
-        # A request runs at a service it was never meant for: the address of an upstream
-        # that is gone was given to another one.
+    def test_other_upstream_at_the_address_is_detected(self):
+        # The address of a removed upstream may be reused by another one, which would
+        # run requests that are meant for another service.
         async def misdirected(request, wire):
             await wire.answer(request, 421, b"")
 
@@ -427,19 +429,19 @@
         self.assertEqual(set(bodies), {b"right"})
         self.assertLessEqual(sent, 1)
 
-    def test_a_dark_upstream_costs_no_answer(self):
+    def test_unreachable_upstream_fails_no_request(self):
         async def asks():
-            gone = upstream(answers())
-            async with Site(gone, upstream(answers())) as site:
-                await gone.close()
-                site.entry.pool.forget("127.0.0.1", gone.port)
+            unreachable = upstream(answers())
+            async with Site(unreachable, upstream(answers())) as site:
+                await unreachable.close()
+                site.entry.pool.forget("127.0.0.1", unreachable.port)
                 return [(await site.ask("/hold/")).status for _ in range(6)]
 
         self.assertEqual(set(run(asks())), {200})
 
 
 class TestConfiguration(unittest.TestCase):
-    def test_an_older_version_never_comes_back(self):
+    def test_older_configuration_version_is_ignored(self):
         async def asks():
             async with Site(upstream(answers())) as site:
                 keys = ("new-key",)
@@ -452,9 +454,9 @@
 
         self.assertEqual(run(asks()), (401, 200))
 
-    def test_a_change_after_the_history_is_lost_is_in_force(self):
-        # A revoked key goes on working: the store dropped its history with the change
-        # in it, and the entry watched on from a revision that no longer existed.
+    def test_change_is_applied_after_the_store_lost_its_history(self):
+        # A revoked key would go on working if the entry kept watching from a revision
+        # that the store has compacted, together with the change.
         async def asks():
             async with Site(upstream(answers())) as site:
                 site.store.put("op/config", make_configuration(7, keys=("other",)))
@@ -464,7 +466,7 @@
 
         self.assertEqual(run(asks()), 401)
 
-    def test_what_was_known_goes_on_while_the_store_is_away(self):
+    def test_configuration_stays_active_while_the_store_is_down(self):
         async def asks():
             async with Site(upstream(answers())) as site:
                 site.store.faults.status = 503
@@ -474,7 +476,7 @@
 
         self.assertEqual(run(asks()), 200)
 
-    def test_an_unreadable_configuration_changes_nothing(self):
+    def test_invalid_configuration_is_ignored(self):
         async def asks():
             async with Site(upstream(answers())) as site:
                 site.store.put("op/config", b"{not json")
@@ -485,7 +487,7 @@
 
 
 class TestCallersConnections(unittest.TestCase):
-    def test_a_connection_is_kept_for_more_requests(self):
+    def test_caller_connection_is_reused(self):
         async def asks():
             async with Site(
                 upstream(answers(body=b"one"), answers(body=b"two"))
@@ -503,7 +505,7 @@
 
         self.assertEqual(run(asks()), [b"one", b"two"])
 
-    def test_what_is_no_request_is_refused(self):
+    def test_malformed_requests_are_refused(self):
         async def asks(data):
             async with Site(upstream(answers())) as site:
                 reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
--- a/tests/gateway/test_delivery_search.py
+++ b/tests/gateway/test_delivery_search.py
@@ -19,13 +19,13 @@
 from tests.gateway.delivery_model import (
     PATHS,
     Ask,
-    PlayedExchange,
     Scenario,
+    SimulatedExchange,
     find_faults,
 )
 from tests.gateway.played_upstreams import Act
 
-#: Scenarios of one run of the tests, and those in which a guard's want must show.
+#: Scenarios per run of the tests, and those in which a disabled guard must be detected.
 EXAMPLES = int(os.environ.get("DELIVERY_EXAMPLES", "400"))
 GUARD_EXAMPLES = 1_500
 
@@ -48,21 +48,21 @@
 )
 
 
-#: Too rare to be met by chance in a run of the tests: a connect is under way when the
-#: upstream begins to leave.
+#: A connect is in progress when the upstream begins to leave. Too rare to be generated
+#: in a run of the tests.
 LEFT_DURING_CONNECT = Scenario(
     asks=(Ask("/safe/", 0),) + (Ask("/safe/", 1),) * 3,
     acts=((Act.NO_CONNECTION, 0),),
     upstreams=1,
     leaving=((0, 1),),
 )
-#: A second answer comes when the answer to the next request is due.
+#: A second answer arrives when the answer to the next request is expected.
 SECOND_ANSWER = Scenario(
     asks=(Ask("/safe/", 0),) * 2,
     acts=((Act.ANSWER_TWICE_LATE, 1), (Act.ANSWER, 30)),
     upstreams=1,
 )
-#: A second answer comes into the midst of a stream, which can't go on behind it.
+#: A second answer arrives in the middle of a stream, which can't continue after it.
 SPOILED_STREAM = Scenario(
     asks=(Ask("/safe/", 0),) * 3 + (Ask("/brief/", 0),),
     acts=(
@@ -73,7 +73,7 @@
     ),
     upstreams=1,
 )
-#: Half of the time passes in silence, and nobody else could be asked.
+#: The upstream is silent for half of the time, and the budget allows no retry.
 SILENT_WITHOUT_BUDGET = Scenario(
     asks=(Ask("/safe/", 0),), acts=((Act.ANSWER, 650),), slack=0.0
 )
@@ -89,33 +89,31 @@
         suppress_health_check=list(HealthCheck),
     )
     @given(SCENARIOS)
-    def test_every_promise_is_kept_in_every_order_of_events(self, scenario):
+    def test_no_generated_scenario_violates_an_invariant(self, scenario):
         self.assertEqual(find_faults(scenario), [])
 
-    def test_nothing_is_sent_to_an_upstream_that_left_during_the_connect(self):
-        # A request comes to an upstream that said before that it leaves, and dies with
-        # it: the connection was being opened when the news came, and nobody looked
-        # again before the send.
+    def test_no_request_is_sent_if_the_upstream_left_during_the_connect(self):
+        # Without a second check before the send, the request reaches an upstream that
+        # began to leave while the connection was being opened, and is lost with it.
         self.assertEqual(find_faults(LEFT_DURING_CONNECT), [])
 
-    def test_a_silent_upstream_is_given_up_only_for_another_one(self):
-        # An answer that would have come late becomes a failure: the upstream was
-        # silent for half of the time, the request was cut there, and then the budget
-        # of second sends had nothing left for it.
+    def test_silent_upstream_is_abandoned_only_for_a_retry(self):
+        # A late answer would become a failure: the attempt is abandoned after half of
+        # the time in silence, and the budget then has no retry left.
         self.assertEqual(find_faults(SILENT_WITHOUT_BUDGET), [])
 
-    def test_a_second_answer_is_nobodys(self):
-        # A caller gets another caller's booking: the upstream answered twice, and the
-        # second answer came on the kept connection where the next one was due.
+    def test_second_answer_is_dropped(self):
+        # A caller would get another caller's answer: the upstream answers twice, and
+        # the second answer arrives on the kept connection where the next is expected.
         self.assertEqual(find_faults(SECOND_ANSWER), [])
 
-    def test_a_stream_with_another_answer_in_its_midst_ends_broken(self):
-        # A brief has the head of another answer between two sentences.
+    def test_stream_with_another_answer_in_it_is_cut(self):
+        # Otherwise the head of the other answer would become part of the stream.
         self.assertEqual(find_faults(SPOILED_STREAM), [])
 
 
-def _is_found():
-    """Search for a scenario that breaks a promise; return what is broken."""
+def _find_violations():
+    """Search for a scenario that violates an invariant; return the violations."""
     for scenario in NAMED:
         if faults := find_faults(scenario):
             return faults
@@ -133,15 +131,15 @@
         return []
 
 
-def _repeats_all(result, progress):
+def _retry_all(result, progress):
     return progress.sends < progress.max_sends
 
 
-async def _takes_first_head(exchange, connection):
+async def _accept_any_head(exchange, connection):
     return await connection.head()
 
 
-def _keeps_refusal(self, exchange, fault, job):
+def _forget_attempts(self, exchange, fault, job):
     kept = None if job is None else job.may_have_run
     if job is not None:
         job.may_have_run = False
@@ -152,17 +150,17 @@
             job.may_have_run = kept
 
 
-def _ends_cleanly(self, reason=protocol.connectionDone):
+def _lose_cleanly(self, reason=protocol.connectionDone):
     _CONNECTION_LOST(self, Failure(error.ConnectionDone()))
 
 
-def _finishes_half(self):
+def _finish_partial(self):
     self.finish()
 
 
-async def _waits_in_vain(self, *wait):
+async def _wait_shielded(self, *wait):
     waiting = asyncio.ensure_future(_WAIT(self, *wait))
-    # Its fault, if any, is nobody's any more once the waiter has left.
+    # Retrieves the exception, which nothing awaits once the waiter has left.
     waiting.add_done_callback(lambda done: done.cancelled() or done.exception())
     return await asyncio.shield(waiting)
 
@@ -172,47 +170,47 @@
 _WAIT = Placer._wait
 
 GUARDS = {
-    "a request that may have run goes nowhere else": mock.patch.object(
-        next_steps, "_may_retry", _repeats_all
+    "a request that may have run is not retried": mock.patch.object(
+        next_steps, "_may_retry", _retry_all
     ),
     "a refusal says that nothing ran": mock.patch.object(
-        Delivery, "_answer_error", _keeps_refusal
+        Delivery, "_answer_error", _forget_attempts
     ),
-    "another request's answer is passed over": mock.patch.object(
-        attempts, "_matching_head", _takes_first_head
+    "another request's answer is skipped": mock.patch.object(
+        attempts, "_matching_head", _accept_any_head
     ),
-    "a success is the upstream's own": mock.patch.object(
+    "a success has a signature": mock.patch.object(
         attempts.names, "SIGNATURE", b"fuchsiahatch-request-id"
     ),
-    "half an event is dropped": mock.patch.object(
+    "a partial event is dropped": mock.patch.object(
         EventSplitter, "discard_partial", lambda self: None
     ),
-    "a reset is no end": mock.patch.object(
-        ClientConnection, "connectionLost", _ends_cleanly
+    "a reset does not complete an answer": mock.patch.object(
+        ClientConnection, "connectionLost", _lose_cleanly
     ),
-    "half an answer looks like none": mock.patch.object(
-        PlayedExchange, "abort", _finishes_half
+    "a partial answer is cut": mock.patch.object(
+        SimulatedExchange, "abort", _finish_partial
     ),
-    "an upstream stops for a caller who has left": mock.patch.object(
+    "an upstream stops when its caller disconnects": mock.patch.object(
         ClientConnection, "abort", lambda self: None
     ),
-    "what has begun to leave gets nothing": mock.patch.object(
+    "a leaving upstream gets no requests": mock.patch.object(
         Fleet, "is_usable", lambda self, upstream: True
     ),
-    "a place comes back when its waiter has left": mock.patch.object(
-        Placer, "_wait", _waits_in_vain
+    "a slot is released when its waiter disconnects": mock.patch.object(
+        Placer, "_wait", _wait_shielded
     ),
-    "every try gives its place back": mock.patch.object(
+    "every attempt releases its slot": mock.patch.object(
         Placer, "release", lambda self, upstream: None
     ),
-    "an answer comes in time": mock.patch.object(
+    "an answer is sent in time": mock.patch.object(
         delivery.asyncio, "timeout", lambda limit_s: contextlib.nullcontext()
     ),
 }
 
 
 class TestGuards(unittest.TestCase):
-    def test_the_search_finds_each_guard_that_is_taken_out(self):
+    def test_search_detects_each_disabled_guard(self):
         for name, without in GUARDS.items():
             with self.subTest(name), without:
-                self.assertTrue(_is_found())
+                self.assertTrue(_find_violations())
--- a/tests/gateway/test_early_callers.py
+++ b/tests/gateway/test_early_callers.py
@@ -11,9 +11,9 @@
 from tests.gateway.sites import make_settings
 from tests.loopback import run
 
-#: Times behind its start at which an entry of a large fleet knew what it serves by.
+#: Times after its start at which an entry of a large fleet had the state to serve.
 INFORMED_MS = (300, 480)
-#: Time for which callers wait for an entry that answers nothing.
+#: Time after which callers give up on an entry that doesn't answer.
 PATIENCE_MS = 1_000
 
 
@@ -44,12 +44,12 @@
 
         return run(play())
 
-    def test_callers_are_not_refused_moments_before_an_entry_serves(self):
-        # Behind a kill of all processes callers used both of their tries on ports that
-        # entries had closed 20 ms before they were ready.
+    def test_socket_stays_open_for_an_entry_that_serves_soon(self):
+        # After all processes were killed, callers used up both of their attempts on
+        # ports that entries had closed 20 ms before they were ready.
         for informed_ms in INFORMED_MS:
             with self.subTest(informed_ms=informed_ms):
                 self.assertFalse(self.wait(informed_ms))
 
-    def test_callers_are_sent_elsewhere_before_they_leave(self):
+    def test_socket_closes_before_callers_give_up(self):
         self.assertTrue(self.wait(PATIENCE_MS))
