--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -136,7 +136,7 @@
         # It began to leave while the connection was being opened, which may take the
         # whole connect timeout, and might end in the middle of the request.
         connection.abort()
-        return Outcome(Result.UNSENT, "the upstream is leaving")
+        return Outcome(Result.UNSENT, "the upstream no longer accepts requests")
     try:
         outcome = await _send_and_receive(exchange, connection, attempt)
     except AnswerBroken as fault:
--- a/packages/gateway/src/fuchsiahatch_gateway/explain.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/explain.py
@@ -64,7 +64,7 @@
     request_lines.sort(key=lambda line: line["t_ms"])
     ended = request_lines[-1]
     background_lines = [line for line in all_lines if _is_background(line, ended)]
-    crash_lines = [line for line in all_lines if _is_same_crash(line, ended)]
+    crash_lines = [line for line in all_lines if _is_related_crash(line, ended)]
     shown = sorted(
         [*request_lines, *background_lines, *crash_lines], key=lambda line: line["t_ms"]
     )
@@ -77,7 +77,7 @@
     return 0 <= ended["t_ms"] - line["t_ms"] <= BACKGROUND_MS
 
 
-def _is_same_crash(line: Line, ended: Line) -> bool:
+def _is_related_crash(line: Line, ended: Line) -> bool:
     """Return whether a line reports a crash that the same request may have caused."""
     if line["message_type"] not in CRASH_LINES:
         return False
--- a/packages/gateway/src/fuchsiahatch_gateway/next_steps.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/next_steps.py
@@ -99,8 +99,8 @@
     A request that isn't repeatable goes to a second upstream only if the first one
     guarantees that it did not run it, and is refused only if no attempt may have run.
 
-    A request that may crash its upstream isn't retried automatically: a second rank
-    group would be lost to one request, which is half of a service of two groups.
+    A request that may crash its upstream isn't retried automatically: one request would
+    take down a second rank group, and with it half of a service of two groups.
     """
     succeeded = result is Result.ANSWERED and not progress.upstream_failed
     if not succeeded and progress.time_left and _may_retry(result, progress):
--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -136,7 +136,9 @@
         if not self.is_usable(upstream):
             # It began to leave after the slot was assigned.
             self.release(upstream)
-            raise RefusedError("the upstream is leaving", Code.NO_LIVE_UPSTREAM)
+            raise RefusedError(
+                "the upstream no longer accepts requests", Code.NO_LIVE_UPSTREAM
+            )
         return upstream
 
     def is_usable(self, upstream: "Upstream") -> bool:
--- a/tests/gateway/test_delivery.py
+++ b/tests/gateway/test_delivery.py
@@ -35,8 +35,8 @@
         return await site.ask(path, **options), server
 
 
-def make_load(server, pace, running=0):
-    address = str(server.entry.address)
+def make_load(record, pace, running=0):
+    address = str(record.entry.address)
     return LoadReport(address, 0, running, pace, True, "g", 50.0)
 
 
