--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One try of a request at one upstream."""
+"""One attempt to send a request to an upstream."""
 
 import asyncio
 import dataclasses
@@ -6,7 +6,7 @@
 
 from fuchsiahatch_adapter import names
 from fuchsiahatch_adapter.caller_requests import caller_headers, upstream_headers
-from fuchsiahatch_gateway.event_stream import EventCutter
+from fuchsiahatch_gateway.event_stream import EventSplitter
 from fuchsiahatch_gateway.next_steps import Result
 from fuchsiahatch_http1.client import (
     AnswerBroken,
@@ -21,8 +21,8 @@
     from fuchsiahatch_gateway.known_upstream import Upstream
     from fuchsiahatch_http1.server import Exchange
 
-#: Answers to other requests that are passed over on one connection.
-MAX_STRANGERS = 4
+#: Answers to other requests that are skipped on one connection.
+MAX_UNRELATED_ANSWERS = 4
 _MISPLACED = 421
 _UPSTREAM_FAILED = 500
 
@@ -31,34 +31,34 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """How a try ended.
+    """How an attempt ended.
 
     Attributes
     ----------
     result : Result
     detail : str
-        Why, for the log.
+        The reason, for the log.
     head : Head or None
-        Of the upstream's answer, where there is one.
+        Of the upstream's answer; None without one.
     body : bytes
-        Of a whole answer that was not passed on yet.
+        Of a complete answer that was not relayed yet.
     passed_on : bool
-        Whether the whole answer has gone to the caller already.
+        Whether the complete answer has been sent to the caller.
     cut : bool
-        Whether the upstream's end of the connection closed before a whole answer.
-    events : bool
-        Whether events of its answer were passed on.
+        Whether the upstream closed the connection before its answer was complete.
+    events_relayed : bool
+        Whether events of its answer were relayed to the caller.
     group_crashed : bool
-        Whether the upstream, a rank of a group, crashed before any of them.
+        Whether the upstream, a rank of a group, crashed before any event was relayed.
     """
 
     result: Result
     detail: str = ""
     head: Head | None = None
     body: bytes = b""
-    passed_on: bool = False
-    cut: bool = False
-    events: bool = False
+    relayed: bool = False
+    closed_early: bool = False
+    events_relayed: bool = False
     group_crashed: bool = False
 
     @property
@@ -73,34 +73,36 @@
 
     @property
     def upstream_failed(self) -> bool:
-        """Whether the answer is a failure of the upstream's own."""
+        """Whether the answer is an error of the upstream."""
         return self.status >= _UPSTREAM_FAILED
 
 
 @dataclasses.dataclass(slots=True)
-class Try:
-    """What a try needs to know.
+class Attempt:
+    """Parameters and callbacks of an attempt.
 
     Attributes
     ----------
     upstream : Upstream
     team : str
     left_ms : int
-        Time that is left for the answer.
+        Time left for the answer.
     silence_ms : int or None
-        Silence after which the try may be given up; None to wait until the end.
+        Silence after which the attempt may be abandoned; None to wait until the
+        deadline.
     may_send : callable
-        Whether the upstream still takes requests.
+        Returns whether the upstream still accepts requests.
     may_give_up : callable
-        Whether the request could be sent again now.
+        Returns whether the request could be retried now.
     may_move : callable
-        Whether a stream under way could go on at another upstream now.
-    events : EventCutter or None
-        For a stream, with what earlier upstreams sent of it.
+        Returns whether a stream in progress could move to another upstream now.
+    events : EventSplitter or None
+        For a stream, with the state left by earlier attempts.
     on_event : callable
-        Is called as events are passed on.
+        Called when events are relayed.
     on_head : callable
-        Is given the head of the upstream's own answer, as soon as it comes.
+        Called with the head of the upstream's answer when it arrives, unless another
+        upstream answered.
     """
 
     upstream: "Upstream"
@@ -110,35 +112,37 @@
     may_send: t.Callable[[], bool]
     may_give_up: t.Callable[[], bool]
     may_move: t.Callable[[], bool]
-    events: EventCutter | None
+    events: EventSplitter | None
     on_event: t.Callable[[], None]
     on_head: t.Callable[[Head], None]
 
 
-async def run_try(exchange: "Exchange", pool: ConnectionPool, one: Try) -> Outcome:
+async def run_attempt(
+    exchange: "Exchange", pool: ConnectionPool, attempt: Attempt
+) -> Outcome:
     """Send a request to an upstream and return how that ended.
 
     Notes
     -----
-    When the caller leaves or the time is over this is cancelled, and the connection is
-    reset: an upstream goes on working for a caller who has gone until then.
+    This is cancelled when the caller disconnects or the deadline passes. The connection
+    is reset then, as the upstream would otherwise go on working on the request.
     """
-    address = one.upstream.entry.address
+    address = attempt.upstream.entry.address
     try:
         connection = await pool.acquire(address.ip, address.port)
     except ConnectFailed as fault:
         return Outcome(Result.UNSENT, str(fault))
-    if not one.may_send():
-        # It began to leave while the connection was opened, which takes up to the
-        # whole limit of a connect, and would end in the middle of the request.
+    if not attempt.may_send():
+        # It began to leave while the connection was being opened, which may take the
+        # whole connect timeout, and might end in the middle of the request.
         connection.abort()
-        return Outcome(Result.UNSENT, "the upstream has left")
+        return Outcome(Result.UNSENT, "the upstream no longer accepts requests")
     try:
-        outcome = await _converse(exchange, connection, one)
+        outcome = await _send_and_receive(exchange, connection, attempt)
     except AnswerBroken as fault:
-        cut = connection.lost
+        closed_early = connection.lost
         connection.abort()
-        return Outcome(Result.BROKEN, str(fault), cut=cut)
+        return Outcome(Result.BROKEN, str(fault), closed_early=closed_early)
     except BaseException:
         connection.abort()
         raise
@@ -149,114 +153,121 @@
     return outcome
 
 
-async def _converse(
-    exchange: "Exchange", connection: ClientConnection, one: Try
+async def _send_and_receive(
+    exchange: "Exchange", connection: ClientConnection, attempt: Attempt
 ) -> Outcome:
-    last_id = None if one.events is None else one.events.last_id
+    last_id = None if attempt.events is None else attempt.events.last_id
     headers = upstream_headers(
-        exchange, one.upstream.entry.instance, one.team, one.left_ms, last_id
+        exchange,
+        attempt.upstream.entry.instance,
+        attempt.team,
+        attempt.left_ms,
+        last_id,
     )
     connection.send(Call(exchange.method, exchange.target, headers, exchange.body))
-    head = await _in_time(_own_head(exchange, connection), one)
+    head = await _limit_silence(_matching_head(exchange, connection), attempt)
     if head.status != _MISPLACED:
-        one.on_head(head)
+        attempt.on_head(head)
     if head.header(names.NOT_EXECUTED) is not None or head.status == _MISPLACED:
         await connection.body()
         return Outcome(Result.NOT_RUN, f"status {head.status}", head)
     succeeded = 200 <= head.status < 300
     if succeeded and head.header(names.SIGNATURE) is None:
-        # Not this upstream's: whatever it is, the caller must not take it for one.
+        # Without the signature the answer isn't from this upstream, and the caller must
+        # not take it for a success.
         return Outcome(Result.BROKEN, "a success without a signature", head)
-    if succeeded and one.events is not None:
-        return await _pass_on_events(exchange, connection, head, one)
+    if succeeded and attempt.events is not None:
+        return await _relay_events(exchange, connection, head, attempt)
     body = await connection.body()
     return Outcome(Result.ANSWERED, f"status {head.status}", head, body)
 
 
-async def _own_head(exchange: "Exchange", connection: ClientConnection) -> Head:
-    """Return the head of the answer to this request, past those of other requests.
+async def _matching_head(exchange: "Exchange", connection: ClientConnection) -> Head:
+    """Return the head of the answer to this request; skip answers to other requests.
 
-    An upstream may send a second answer, late, where the answer to the next request on
-    the connection is due: a caller would get another caller's booking.
+    An upstream may send a second answer to an earlier request, which arrives where the
+    answer to the next request on the connection is expected. Without the check a caller
+    would get another caller's answer.
     """
-    wanted = exchange.header(names.REQUEST_ID)
-    for _ in range(MAX_STRANGERS):
+    request_id = exchange.header(names.REQUEST_ID)
+    for _ in range(MAX_UNRELATED_ANSWERS):
         head = await connection.head()
-        found = head.header(names.REQUEST_ID)
-        if found == wanted:
+        answer_id = head.header(names.REQUEST_ID)
+        if answer_id == request_id:
             return head
-        if found is None and (head.status == _MISPLACED or head.status >= 400):
+        if answer_id is None and (head.status == _MISPLACED or head.status >= 400):
             # A refusal before the request was read names no request.
             return head
         await connection.body()
         connection.expect_another()
-    raise AnswerBroken("only other requests' answers came")
+    raise AnswerBroken("received only answers to other requests")
 
 
-async def _in_time(work: t.Coroutine[t.Any, t.Any, T], one: Try) -> T:
-    """Wait for what an upstream sends next, unless it is silent for too long.
+async def _limit_silence(work: t.Coroutine[t.Any, t.Any, T], attempt: Attempt) -> T:
+    """Wait for the next data of an upstream, unless it is silent for too long.
 
-    A rank group whose member has died stalls for seconds before it says so, and a
-    caller leaves after two: the request must be elsewhere by then. Where it can't be
-    sent again, a late answer is worth more than none.
+    A rank group with a dead member stalls for seconds before it reports that, and a
+    caller leaves after two, so the request has to move before that. If it can't be
+    retried, a late answer is better than none, and the wait goes on.
     """
-    if one.silence_ms is None:
+    if attempt.silence_ms is None:
         return await work
     loop = asyncio.get_running_loop()
-    silence_s = one.silence_ms / 1000
+    silence_s = attempt.silence_ms / 1000
     timer: asyncio.TimerHandle | None = None
-    why = f"silent for {one.silence_ms} ms"
+    reason = f"silent for {attempt.silence_ms} ms"
 
     def note_silence() -> None:
         nonlocal timer
-        if one.may_give_up():
+        if attempt.may_give_up():
             limit.reschedule(loop.time())
         else:
             timer = loop.call_later(silence_s, note_silence)
 
     def move() -> None:
-        nonlocal why
-        if one.may_move():
-            why = "moved from a slow rank"
+        nonlocal reason
+        if attempt.may_move():
+            reason = "moved from a slow rank"
             limit.reschedule(loop.time())
 
     try:
-        # Not wait_for: it hides that the caller has left when an event comes in the
-        # same turn of the loop.
+        # asyncio.wait_for would swallow the cancellation by a caller that disconnects
+        # in the same iteration of the loop in which an event arrives.
         async with asyncio.timeout(None) as limit:
             timer = loop.call_later(silence_s, note_silence)
-            one.upstream.movers.add(move)
+            attempt.upstream.movers.add(move)
             return await work
     except TimeoutError as fault:
-        raise AnswerBroken(why) from fault
+        raise AnswerBroken(reason) from fault
     finally:
-        one.upstream.movers.discard(move)
+        attempt.upstream.movers.discard(move)
         if timer is not None:
             timer.cancel()
 
 
-async def _pass_on_events(
-    exchange: "Exchange", connection: ClientConnection, head: Head, one: Try
+async def _relay_events(
+    exchange: "Exchange", connection: ClientConnection, head: Head, attempt: Attempt
 ) -> Outcome:
-    events = one.events
+    events = attempt.events
     assert events is not None
-    events.restart()
-    while (piece := await _in_time(connection.piece(), one)) is not None:
+    events.discard_partial()
+    while (piece := await _limit_silence(connection.piece(), attempt)) is not None:
         whole = events.feed(piece)
         if whole:
             _write_events(exchange, head, whole)
-            one.on_event()
+            attempt.on_event()
             await exchange.drained()
-    rest = events.take_rest()
+    rest = events.take_remainder()
     if rest or not exchange.started:
         _write_events(exchange, head, rest)
     exchange.finish()
-    return Outcome(Result.ANSWERED, "whole", head, passed_on=True)
+    return Outcome(Result.ANSWERED, "whole", head, relayed=True)
 
 
 def _write_events(exchange: "Exchange", head: Head, data: bytes) -> None:
-    # The head waits for the first event, so that a try that breaks before it leaves
-    # no trace. A resumed stream keeps the head of its first upstream.
+    # The head is sent with the first event, so that the caller sees nothing of an
+    # attempt that breaks before it. A resumed stream keeps the head of its first
+    # upstream.
     if not exchange.started:
         exchange.start(head.status, caller_headers(head.headers))
     exchange.write(data)
--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -1,4 +1,4 @@
-"""One caller's request from its head to its answer."""
+"""Handles a caller's request from its arrival to its answer."""
 
 import asyncio
 import random
@@ -15,9 +15,9 @@
     RequestError,
 )
 from fuchsiahatch_delivery.keys import fingerprint_of
-from fuchsiahatch_gateway.attempts import Outcome, Try, run_try
+from fuchsiahatch_gateway.attempts import Attempt, Outcome, run_attempt
 from fuchsiahatch_gateway.defaults import RETRY_AFTER_S, RETRY_AFTER_SPREAD
-from fuchsiahatch_gateway.event_stream import EventCutter
+from fuchsiahatch_gateway.event_stream import EventSplitter
 from fuchsiahatch_gateway.jobs import Job, silence_ms, wait_ms
 from fuchsiahatch_gateway.next_steps import (
     Progress,
@@ -40,8 +40,8 @@
     from fuchsiahatch_http1.client import ConnectionPool, Head
     from fuchsiahatch_http1.server import Exchange
 
-#: Time before the end of a request's time in which no further try is begun.
-LEAST_TRY_MS = 30
+#: Time left to the deadline below which no further attempt is started.
+MIN_ATTEMPT_MS = 30
 _STATUS = {
     Code.BAD_REQUEST: 400,
     Code.UNKNOWN_TEAM: 401,
@@ -69,7 +69,7 @@
     clock : Clock
     rng : random.Random
     on_head : callable, optional
-        Is given an upstream and the head of each of its answers.
+        Called with an upstream and the head of each of its answers.
     """
 
     __slots__ = (
@@ -126,7 +126,7 @@
                 self._check_held(job)
                 await self._deliver(job)
         except TimeoutError:
-            self._time_over(job)
+            self._handle_timeout(job)
         except FuchsiahatchError as fault:
             self._answer_error(exchange, fault, job)
         except asyncio.CancelledError:
@@ -140,9 +140,9 @@
         try:
             request = decode_request(exchange)
         except ValueError as fault:
-            raise RequestError(f"a header can't be read: {fault}") from fault
+            raise RequestError(f"invalid request header: {fault}") from fault
         if not request.request_id:
-            raise RequestError("the request has no id")
+            raise RequestError("the request id is missing")
         match = self._routes.match(request)
         limit_ms = match.route.timeout_ms
         if request.deadline_ms is not None:
@@ -150,7 +150,7 @@
         service = choose_service(match.route, self._rng)
         self._budget.note_request(service)
         streams = match.route.kind is Kind.STREAM
-        events = EventCutter() if streams else None
+        events = EventSplitter() if streams else None
         return Job(
             exchange,
             request,
@@ -164,21 +164,21 @@
 
     async def _deliver(self, job: Job) -> None:
         while True:
-            upstream = await self._place(job)
+            upstream = await self._acquire_slot(job)
             self._check_held(job, upstream)
-            outcome = await self._try(job, upstream)
-            await self._note_whole_or_crash(job, upstream, outcome)
+            outcome = await self._attempt(job, upstream)
+            await self._note_answer_or_crash(job, upstream, outcome)
             step = decide(outcome.result, self._progress(job, outcome))
-            if step is Step.RETRY and not self._may_spend(job, outcome):
+            if step is Step.RETRY and not self._spend_retry(job, outcome):
                 step = conclude(outcome.result, job.may_have_run)
             if step is Step.RETRY:
                 self._log.note_retry(job, upstream, outcome)
                 continue
-            self._end(job, step, outcome)
+            self._finish(job, step, outcome)
             return
 
     def _check_held(self, job: Job, upstream: "Upstream | None" = None) -> None:
-        """Refuse a request that crashes upstreams; give its place back if it has one.
+        """Refuse a held request, one that crashes upstreams; release its slot if given.
 
         Raises
         ------
@@ -188,55 +188,55 @@
         if not held_ms:
             return
         if upstream is not None:
-            self._placer.give_back(upstream)
-        detail = "upstreams have crashed under this request"
+            self._placer.release(upstream)
+        detail = "upstreams crashed while running this request"
         raise RefusedError(detail, Code.CRASHES_UPSTREAMS, retry_after_ms=held_ms)
 
-    async def _note_whole_or_crash(
+    async def _note_answer_or_crash(
         self, job: Job, upstream: "Upstream", outcome: Outcome
     ) -> None:
         if outcome.result is Result.ANSWERED:
             self._crashing.note_whole(job.fingerprint)
-        elif outcome.cut:
+        elif outcome.closed_early:
             crashed = await self._crashes.examine(job.fingerprint, upstream)
             outcome.group_crashed = (
-                crashed and bool(upstream.group) and not outcome.events
+                crashed and bool(upstream.group) and not outcome.events_relayed
             )
         elif outcome.result is Result.BROKEN:
             self._crashes.note_silence(job.fingerprint, upstream)
 
-    def _may_spend(self, job: Job, outcome: Outcome) -> bool:
-        # Where no connection came about, the next send is the first that arrives.
+    def _spend_retry(self, job: Job, outcome: Outcome) -> bool:
+        # Without a connection nothing was sent, so the next attempt isn't a retry.
         return outcome.result is Result.UNSENT or self._budget.spend(job.service)
 
-    async def _place(self, job: Job) -> "Upstream":
+    async def _acquire_slot(self, job: Job) -> "Upstream":
         team = job.match.team.name
         urgency = job.match.urgency
         began_ms = self._clock.now_ms()
         try:
-            return await self._placer.take(
+            return await self._placer.acquire(
                 job.service, team, urgency, job.tried, wait_ms(job, began_ms)
             )
         finally:
             job.waited_ms += self._clock.now_ms() - began_ms
 
-    async def _try(self, job: Job, upstream: "Upstream") -> Outcome:
+    async def _attempt(self, job: Job, upstream: "Upstream") -> Outcome:
         sent_ms = self._clock.now_ms()
         left_ms = job.ends_ms - sent_ms
-        late = self._expect_answer(job, upstream)
+        late_timer = self._expect_answer(job, upstream)
 
         def note_head(head: "Head") -> None:
-            if late is not None:
-                late.cancel()
+            if late_timer is not None:
+                late_timer.cancel()
             self._on_head(upstream, head)
 
-        one = Try(
+        attempt = Attempt(
             upstream,
             job.match.team.name,
             left_ms,
             silence_ms(job, left_ms),
             lambda: self._placer.is_usable(upstream),
-            lambda: self._could_be_sent_again(job),
+            lambda: self._could_retry(job),
             lambda: self._could_move(job),
             job.events,
             lambda: job.note_event(self._clock.now_ms()),
@@ -244,47 +244,49 @@
         )
         was_started = job.exchange.started
         may_have_run = True
-        # Noted first, so that the log names it also where the time ends meanwhile.
+        # Recorded before the attempt, so that the log has it if the deadline passes.
         job.tried.append(upstream.entry.instance)
         job.load_then = upstream.load(sent_ms)
         job.report_age_ms = upstream.report_age_ms(sent_ms)
         try:
-            outcome = await run_try(job.exchange, self._pool, one)
+            outcome = await run_attempt(job.exchange, self._pool, attempt)
             may_have_run = outcome.result in (Result.ANSWERED, Result.BROKEN)
         finally:
-            if late is not None:
-                late.cancel()
+            if late_timer is not None:
+                late_timer.cancel()
             job.may_have_run = job.may_have_run or may_have_run
-            self._placer.give_back(upstream)
-        outcome.events = job.last_event_ms is not None and job.last_event_ms >= sent_ms
+            self._placer.release(upstream)
+        outcome.events_relayed = (
+            job.last_event_ms is not None and job.last_event_ms >= sent_ms
+        )
         if outcome.result is Result.UNSENT:
             job.unsent += 1
             job.tried.pop()
-        self._learn(upstream, outcome, sent_ms, was_started)
+        self._record_result(upstream, outcome, sent_ms, was_started)
         return outcome
 
     def _expect_answer(
         self, job: Job, upstream: "Upstream"
     ) -> asyncio.TimerHandle | None:
         if job.events is not None:
-            # An agent tells of an engine, and all ranks of its group are late together.
+            # Agents report on engines, and all ranks of a group are late together.
             return None
         return self._late.expect(upstream, job.match.route.objective_ms)
 
     def _could_move(self, job: Job) -> bool:
-        # Only a stream: whatever else runs is nearly done.
-        return job.events is not None and self._could_be_sent_again(job)
+        # Streams only; any other request is nearly done.
+        return job.events is not None and self._could_retry(job)
 
-    def _could_be_sent_again(self, job: Job) -> bool:
-        # To the same upstream too: a connection may be silent where new ones work.
+    def _could_retry(self, job: Job) -> bool:
+        # The same upstream counts too: a connection may be stuck while new ones work.
         progress = self._progress(job, Outcome(Result.BROKEN))
         return (
             decide(Result.BROKEN, progress) is Step.RETRY
-            and self._budget.has_room(job.service)
-            and self._placer.has_place(job.service)
+            and self._budget.has_retry_left(job.service)
+            and self._placer.has_free_slot(job.service)
         )
 
-    def _learn(
+    def _record_result(
         self, upstream: "Upstream", outcome: Outcome, sent_ms: int, was_started: bool
     ) -> None:
         now_ms = self._clock.now_ms()
@@ -293,29 +295,29 @@
             log_event(Event.UPSTREAM_MISPLACED, upstream=upstream.entry.instance)
         elif outcome.result is not Result.ANSWERED or outcome.upstream_failed:
             upstream.note_failure(now_ms)
-        elif not outcome.passed_on and not was_started:
+        elif not outcome.relayed and not was_started:
             upstream.note_latency(now_ms - sent_ms)
 
     def _progress(self, job: Job, outcome: Outcome) -> Progress:
         route = job.match.route
         left_ms = job.ends_ms - self._clock.now_ms()
-        # A stream that has begun can only go on behind an event with an id.
+        # A stream that has begun can only be resumed after an event with an id.
         begun = job.exchange.started and job.events is not None
-        stuck = begun and job.events is not None and job.events.last_id is None
+        unresumable = begun and job.events is not None and job.events.last_id is None
         return Progress(
-            repeatable=route.repeatable and not stuck,
+            repeatable=route.repeatable and not unresumable,
             sends=len(job.tried),
             max_sends=route.max_attempts,
             unsent=job.unsent,
             may_have_run=job.may_have_run,
             upstream_failed=outcome.upstream_failed,
-            time_left=left_ms > LEAST_TRY_MS,
+            time_left=left_ms > MIN_ATTEMPT_MS,
             crashes=self._crashing.crashes(job.fingerprint),
             group_crashed=outcome.group_crashed,
         )
 
-    def _end(self, job: Job, step: Step, outcome: Outcome) -> None:
-        if step is Step.RELAY and outcome.passed_on:
+    def _finish(self, job: Job, step: Step, outcome: Outcome) -> None:
+        if step is Step.RELAY and outcome.relayed:
             self._log.note_end(job, "answered", outcome)
         elif step is Step.RELAY and not job.exchange.started:
             assert outcome.head is not None
@@ -331,7 +333,7 @@
             fault = FuchsiahatchError(detail, Code.UNKNOWN)
             self._answer_error(job.exchange, fault, job)
 
-    def _time_over(self, job: Job) -> None:
+    def _handle_timeout(self, job: Job) -> None:
         ran = bool(job.tried) or job.may_have_run
         if ran:
             fault = FuchsiahatchError("the time is over", Code.DEADLINE_PASSED)
@@ -343,7 +345,7 @@
         self, exchange: "Exchange", fault: FuchsiahatchError, job: Job | None
     ) -> None:
         if job is not None and job.may_have_run and isinstance(fault, RefusedError):
-            # A refusal says that nothing ran, and no earlier try may be forgotten.
+            # A refusal states that nothing ran, but an earlier attempt may have run.
             fault = FuchsiahatchError(fault.detail, Code.UNKNOWN)
         status = _status_of(fault)
         if job is not None:
@@ -359,31 +361,32 @@
         if exchange.gone:
             return
         if exchange.started:
-            # Half an answer must not look whole.
+            # A partial answer must not look complete.
             exchange.abort()
             return
         headers = []
         if status == _UNAVAILABLE:
-            after_s = self._retry_after_s(fault.retry_after_ms)
-            headers.append((names.RETRY_AFTER, b"%.2f" % after_s))
+            retry_after_s = self._retry_after_s(fault.retry_after_ms)
+            headers.append((names.RETRY_AFTER, b"%.2f" % retry_after_s))
         exchange.respond(status, headers, f"{fault}\n".encode())
 
     def _retry_after_s(self, known_ms: int | None) -> float:
-        """Return when to come back: not before a time that is known, or some time."""
+        """Return the Retry-After time, with jitter; never before a known time."""
         earliest, latest = RETRY_AFTER_SPREAD
         if known_ms is not None:
             return known_ms / 1000 * self._rng.uniform(1.0, latest)
         return RETRY_AFTER_S * self._rng.uniform(earliest, latest)
 
     def _version(self) -> int:
-        known = self._routes.configuration
-        return 0 if known is None else known.version
+        configuration = self._routes.configuration
+        return 0 if configuration is None else configuration.version
 
 
 def _fingerprint_of(exchange: "Exchange", host: str, team: str) -> str:
-    """Return what tells a team's request again under another id, at each entry.
+    """Return the fingerprint of a team's request, the same at each entry.
 
-    Headers don't count: callers draw some of them anew.
+    It identifies the request when it is sent again under another id. Headers are left
+    out, as callers change some of them each time.
     """
     method, target = (
         exchange.method.decode("latin-1"),
--- a/packages/gateway/src/fuchsiahatch_gateway/event_stream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/event_stream.py
@@ -1,53 +1,54 @@
-"""Cutting a stream of events into whole events."""
+"""Splitting a server-sent event stream at event boundaries."""
 
 import typing as t
 
-#: Longest event that is kept until its end; a longer one is passed on in parts.
+#: Length above which an event is meant to be forwarded in parts. `EventSplitter`
+#: doesn't enforce it.
 MAX_EVENT_BYTES = 1_048_576
 
 
-class EventCutter:
-    """Collects bytes and returns whole events.
+class EventSplitter:
+    """Buffers bytes of a stream and returns complete events.
 
     Attributes
     ----------
     last_id : bytes or None
-        Id of the last whole event.
+        Id of the last complete event, for the Last-Event-ID header of a resumed stream.
     """
 
-    __slots__ = ("_rest", "last_id")
+    __slots__ = ("_buffer", "last_id")
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
         self.last_id: bytes | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that end in the bytes so far."""
-        self._rest += data
+        """Add bytes to the buffer; return the events that are complete now."""
+        self._buffer += data
         end = max(
-            _end_of(self._rest, b"\n\n"),
-            _end_of(self._rest, b"\r\n\r\n"),
+            _end_of(self._buffer, b"\n\n"),
+            _end_of(self._buffer, b"\r\n\r\n"),
         )
         if not end:
             return b""
-        whole, self._rest = self._rest[:end], self._rest[end:]
+        whole, self._buffer = self._buffer[:end], self._buffer[end:]
         for event_id in _ids(whole):
             self.last_id = event_id
         return whole
 
-    def take_rest(self) -> bytes:
-        """Return what came behind the last whole event."""
-        rest, self._rest = self._rest, b""
+    def take_remainder(self) -> bytes:
+        """Return and clear the bytes after the last complete event."""
+        rest, self._buffer = self._buffer, b""
         return rest
 
-    def restart(self) -> None:
-        """Drop half an event that was cut; the next upstream sends it whole."""
-        self._rest = b""
+    def discard_partial(self) -> None:
+        """Drop an incomplete event; the next upstream sends it again in full."""
+        self._buffer = b""
 
 
-def _end_of(data: bytes, mark: bytes) -> int:
-    at = data.rfind(mark)
-    return at + len(mark) if at >= 0 else 0
+def _end_of(data: bytes, terminator: bytes) -> int:
+    position = data.rfind(terminator)
+    return position + len(terminator) if position >= 0 else 0
 
 
 def _ids(events: bytes) -> t.Iterator[bytes]:
--- a/packages/gateway/src/fuchsiahatch_gateway/lookups.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/lookups.py
@@ -1,4 +1,4 @@
-"""Which entries a caller may connect to."""
+"""Selection of the entry addresses that a lookup returns to a caller."""
 
 import dataclasses
 import typing as t
@@ -10,22 +10,22 @@
 from fuchsiahatch_gateway.datagrams import check_peer
 from fuchsiahatch_gateway.defaults import MAX_LOOKUP_ENTRIES
 
-#: Entries that an answer names at least, where there are so many: callers of a zone
-#: whose entries have all died must know others.
-LEAST_ENTRIES = 2
+#: Minimum number of entries in an answer, if that many exist. Callers in a zone whose
+#: entries have all failed need the address of an entry elsewhere.
+MIN_LOOKUP_ENTRIES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryRecord:
-    """An entry's registration.
+    """An entry's registration in the store.
 
     Attributes
     ----------
     node, zone : str
     callers : str
-        Where it takes callers' requests, ``ip:port``.
+        Address for callers' requests, ``ip:port``.
     peer : tuple of (str, int)
-        Where it takes our datagrams.
+        Address for datagrams of the gateway's other processes.
     """
 
     node: str
@@ -34,7 +34,7 @@
     peer: tuple[str, int]
 
     def encode(self) -> bytes:
-        """Return the registration's value."""
+        """Return the registration as it is stored."""
         return orjson.dumps(dataclasses.asdict(self))
 
 
@@ -45,31 +45,32 @@
     ------
     FormError
     """
-    what = f"registration of {node}"
-    record = read_json(value, EntryRecord, what)
-    with reading(what):
+    description = f"registration of {node}"
+    record = read_json(value, EntryRecord, description)
+    with reading(description):
         parse_address(record.callers)
         check_peer(record.peer)
     return record
 
 
 def choose_addresses(
-    entries: t.Iterable[EntryRecord], own: EntryRecord | None, zone: str
+    entries: t.Iterable[EntryRecord], local: EntryRecord | None, zone: str
 ) -> list[str]:
-    """Return the addresses for a caller, its own zone's alone if they are enough.
+    """Return the entry addresses for a caller, only those of its zone if they suffice.
 
     Parameters
     ----------
     entries : iterable of EntryRecord
-    own : EntryRecord or None
-        This entry, while it takes requests: it is alive whatever the store says.
+    local : EntryRecord or None
+        This entry; None while it takes no requests. It is included even if the store
+        doesn't list it, as it is known to be alive.
     zone : str
-        The caller's.
+        Zone of the caller.
     """
-    known = {entry.callers: entry for entry in entries}
-    if own is not None:
-        known[own.callers] = own
-    near = [address for address, entry in known.items() if entry.zone == zone]
-    if len(near) >= LEAST_ENTRIES:
-        return near[:MAX_LOOKUP_ENTRIES]
-    return [*near, *(known.keys() - set(near))][:MAX_LOOKUP_ENTRIES]
+    by_address = {entry.callers: entry for entry in entries}
+    if local is not None:
+        by_address[local.callers] = local
+    same_zone = [address for address, entry in by_address.items() if entry.zone == zone]
+    if len(same_zone) >= MIN_LOOKUP_ENTRIES:
+        return same_zone[:MAX_LOOKUP_ENTRIES]
+    return [*same_zone, *(by_address.keys() - set(same_zone))][:MAX_LOOKUP_ENTRIES]
--- a/tests/gateway/test_losses.py
+++ b/tests/gateway/test_losses.py
@@ -1,6 +1,6 @@
 import unittest
 
-from fuchsiahatch_gateway.losses import SAMPLE, cause_of, describe_losses
+from fuchsiahatch_gateway.losses import SUCCESS_SAMPLE, cause_of, describe_losses
 
 
 def ended(at_s=10.0, end="answered", **fields):
@@ -33,8 +33,8 @@
         ):
             self.assertEqual(cause_of(line), cause)
 
-    def test_spells_add_up_to_the_whole(self):
-        # An operator asks which seconds were bad and why, and has only the logs.
+    def test_intervals_add_up_to_the_total(self):
+        # Operators have only the logs to find out when requests failed and why.
         lines = [
             ended(10.0),
             ended(10.5, "503 no place came free"),
@@ -42,7 +42,7 @@
             {"message_type": "started", "timestamp": 9.0},
         ]
         first, second, whole = describe_losses(lines, 2_000)
-        self.assertIn(f"in time {SAMPLE}", first)
+        self.assertIn(f"in time {SUCCESS_SAMPLE}", first)
         self.assertIn("refused: no place 1", first)
         self.assertIn("2.0 s  late: pause in its stream 1", second)
         self.assertIn("late: pause in its stream 1", whole)
