--- a/packages/bench/src/fuchsiahatch_bench/grant_model.py
+++ b/packages/bench/src/fuchsiahatch_bench/grant_model.py
@@ -14,7 +14,6 @@
 from fuchsiahatch_experts.grants import (
     Answer,
     Commit,
-    GiveOrder,
     LoadWeights,
     Order,
     Propose,
@@ -22,14 +21,15 @@
     Reply,
     Request,
     Send,
+    SendOrder,
     StepDown,
 )
-from fuchsiahatch_experts.leaders import Leader, Pace
+from fuchsiahatch_experts.leaders import Leader, WindowSettings
 from fuchsiahatch_experts.orders import OrderGate
 from fuchsiahatch_experts.ranks import Rank
 from fuchsiahatch_standins.lockstep import RankEngine
 
-_PACE = Pace(window_steps=2, ahead_steps=1)
+_PACE = WindowSettings(window_steps=2, ahead_steps=1)
 _LOSS = 0.03
 _SWARM = (0, 1, 1, 5)
 _FAULT_SHARE = (0.03, 0.3)
@@ -322,7 +322,7 @@
 
     def _look(self) -> None:
         rank = self.random.choice(self._group)
-        self._do_rank(rank, self._ranks[rank].look(self.now_ms), 0)
+        self._do_rank(rank, self._ranks[rank].read_engine(self.now_ms), 0)
 
     def _restart(self) -> None:
         self._restart_agent(self.random.choice(self._group))
@@ -371,7 +371,7 @@
     def _start_rank(self, rank: int) -> None:
         machine = self._new_rank(rank)
         self._ranks[rank] = machine
-        self._do_rank(rank, machine.look(self.now_ms), rank)
+        self._do_rank(rank, machine.read_engine(self.now_ms), rank)
 
     def _forget_order(self, rank: int) -> None:
         # What is on its way may still arrive: at an engine that checks fencing
@@ -388,7 +388,7 @@
         for effect in effects:
             if isinstance(effect, Reply):
                 self._answers.put((leader, effect.answer))
-            elif isinstance(effect, GiveOrder):
+            elif isinstance(effect, SendOrder):
                 self._give(rank, effect.order, leader)
             elif isinstance(effect, LoadWeights):
                 self._engines[rank].weights.add(effect.map_version)
--- a/packages/bench/src/fuchsiahatch_bench/guardless.py
+++ b/packages/bench/src/fuchsiahatch_bench/guardless.py
@@ -21,7 +21,7 @@
 
     __slots__ = ()
 
-    def _is_for_this_life(self, request: "Propose | Commit") -> bool:
+    def _is_for_this_incarnation(self, request: "Propose | Commit") -> bool:
         return True
 
 
@@ -30,8 +30,8 @@
 
     __slots__ = ()
 
-    def _known_engine(self) -> EngineState:
-        engine = super()._known_engine()
+    def _last_engine_state(self) -> EngineState:
+        engine = super()._last_engine_state()
         granted = engine.granted
         own = self.accepted is not None and self.accepted.window == granted
         if own or granted is None:
@@ -45,8 +45,8 @@
 
     __slots__ = ()
 
-    def _life_changed(self, rank: int) -> list[LeaderEffect]:
-        del self.told[rank]
+    def _rank_restarted(self, rank: int) -> list[LeaderEffect]:
+        del self.rank_states[rank]
         self.phase = Phase.ASKING
         return self.tick()
 
--- a/packages/daemon/src/fuchsiahatch_daemon/step_rank.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/step_rank.py
@@ -13,7 +13,6 @@
     Answer,
     Commit,
     EngineState,
-    GiveOrder,
     LoadWeights,
     Order,
     Propose,
@@ -21,6 +20,7 @@
     Refused,
     Reply,
     Request,
+    SendOrder,
 )
 from fuchsiahatch_experts.health import Smoother, StepTime
 from fuchsiahatch_experts.orders import OrderGate
@@ -81,11 +81,11 @@
     def start(self) -> None:
         """Take orders from now on, with the agent's address bound."""
         # An earlier life may have given an order until the address was free.
-        self._gate.lost(self._clock.now_ms())
+        self._gate.note_lost(self._clock.now_ms())
 
     async def look(self) -> None:
         """Read the engine, while no leader asks for its state."""
-        await self._do(self._rank.look(self._clock.now_ms()))
+        await self._do(self._rank.read_engine(self._clock.now_ms()))
 
     async def Ask(
         self, stream: "Stream[steps_pb2.AskRequest, steps_pb2.StepReply]"
@@ -139,7 +139,7 @@
             effect = waiting.popleft()
             if isinstance(effect, Reply):
                 answer = effect.answer
-            elif isinstance(effect, GiveOrder):
+            elif isinstance(effect, SendOrder):
                 waiting.extend(await self._give(effect.order))
             elif isinstance(effect, LoadWeights):
                 self._tasks.spawn(self._load_weights(effect.map_version))
--- a/packages/daemon/src/fuchsiahatch_daemon/steps.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/steps.py
@@ -25,7 +25,7 @@
     StepDown,
 )
 from fuchsiahatch_experts.health import HealthWatch
-from fuchsiahatch_experts.leaders import Leader, Pace
+from fuchsiahatch_experts.leaders import Leader, WindowSettings
 from fuchsiahatch_experts.terms import (
     CampaignEffect,
     Candidate,
@@ -97,7 +97,7 @@
             engine,
             self._clock,
             self._tasks,
-            self._candidate.heard,
+            self._candidate.note_leader_contact,
         )
 
     def start(self) -> None:
@@ -124,7 +124,7 @@
 
     def _look_at_health(self, leader: Leader) -> None:
         compute_ms = {
-            rank: told.engine.compute_ms for rank, told in leader.told.items()
+            rank: told.engine.compute_ms for rank, told in leader.rank_states.items()
         }
         if len(compute_ms) < len(self._settings.members) or not all(
             compute_ms.values()
@@ -215,7 +215,7 @@
         except PlatformError as fault:
             log_event(Event.SERVICE_CALL_FAILED, detail=fault.detail)
             return self._candidate.step_down(self._clock.now_ms())
-        return self._candidate.swapped(won, self._clock.now_ms())
+        return self._candidate.swap_answered(won, self._clock.now_ms())
 
     def _lead(self, won: Lead) -> None:
         log_event(Event.TERM_WON, term=won.term, epoch=won.epoch)
@@ -226,7 +226,7 @@
             won.begin,
             len(settings.members),
             self._wanted_map,
-            Pace(settings.window_steps, settings.ahead_steps),
+            WindowSettings(settings.window_steps, settings.ahead_steps),
         )
         self._leader = leader
         # An earlier watch would not name again whom it has named before.
--- a/packages/experts/src/fuchsiahatch_experts/grants.py
+++ b/packages/experts/src/fuchsiahatch_experts/grants.py
@@ -170,7 +170,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GiveOrder:
+class SendOrder:
     """Effect of a rank: give its engine an order and bring back the answer."""
 
     order: Order
@@ -219,5 +219,5 @@
     term: int
 
 
-RankEffect: t.TypeAlias = Reply | GiveOrder | LoadWeights | Starved
+RankEffect: t.TypeAlias = Reply | SendOrder | LoadWeights | Starved
 LeaderEffect: t.TypeAlias = Send | TakeTerm | StepDown
--- a/packages/experts/src/fuchsiahatch_experts/leaders.py
+++ b/packages/experts/src/fuchsiahatch_experts/leaders.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pace:
+class WindowSettings:
     """How far grants run ahead.
 
     Attributes
@@ -65,7 +65,7 @@
         Number of ranks in the group.
     wanted_map : int
         Map version to grant once its weights are in place everywhere.
-    pace : Pace, optional
+    pace : WindowSettings, optional
 
     Notes
     -----
@@ -82,8 +82,8 @@
         "epoch",
         "granted",
         "phase",
+        "rank_states",
         "term",
-        "told",
         "wanted_map",
         "window",
     )
@@ -95,18 +95,18 @@
         begin: bool,
         ranks: int,
         wanted_map: int,
-        pace: Pace | None = None,
+        pace: WindowSettings | None = None,
     ) -> None:
         self.term = term
         self.epoch = epoch
         self.wanted_map = wanted_map
         self.phase = Phase.ASKING
-        self.told: dict[int, Told] = {}
+        self.rank_states: dict[int, Told] = {}
         self.granted: Window | None = None
         self.window: Window | None = None
         self._begin = begin
         self._ranks = range(ranks)
-        self._pace = Pace() if pace is None else pace
+        self._pace = WindowSettings() if pace is None else pace
         self._number = 0
         self._heard = dict.fromkeys(self._ranks, 0)
         self._done: set[int] = set()
@@ -118,7 +118,9 @@
         if self.phase is Phase.READY:
             return self._send(self._ranks)
         if self.phase is Phase.ASKING:
-            return self._send(rank for rank in self._ranks if rank not in self.told)
+            return self._send(
+                rank for rank in self._ranks if rank not in self.rank_states
+            )
         return self._send(rank for rank in self._ranks if rank not in self._done)
 
     def receive(self, answer: Answer) -> list[LeaderEffect]:
@@ -147,16 +149,16 @@
         if answer.code is Code.OLD_TERM:
             return self._end()
         if answer.code is Code.OLD_INCARNATION and self.phase in _IN_ROUND:
-            return self._life_changed(answer.rank)
+            return self._rank_restarted(answer.rank)
         return []
 
     def _told(self, told: Told) -> list[LeaderEffect]:
         if self.phase in _IN_ROUND or told.number <= self._heard[told.rank]:
             return []
         self._heard[told.rank] = told.number
-        self.told[told.rank] = told
+        self.rank_states[told.rank] = told
         if self.phase is Phase.ASKING:
-            return self._recover() if len(self.told) == len(self._ranks) else []
+            return self._recover() if len(self.rank_states) == len(self._ranks) else []
         if not self._fits(told):
             return self._end(new_epoch=told.engine.epoch < self.epoch)
         return self._propose_next()
@@ -167,7 +169,7 @@
             return False
         if answer.window != self.window:
             return False
-        return answer.incarnation == self.told[answer.rank].incarnation
+        return answer.incarnation == self.rank_states[answer.rank].incarnation
 
     def _agreed(self, answer: Accepted | Committed) -> list[LeaderEffect]:
         self._done.add(answer.rank)
@@ -182,7 +184,7 @@
         return self._propose_next()
 
     def _recover(self) -> list[LeaderEffect]:
-        engines = [told.engine for told in self.told.values()]
+        engines = [told.engine for told in self.rank_states.values()]
         if any(engine.epoch != self.epoch for engine in engines):
             # A new engine knows none of the group's steps: all start anew.
             return self._end(new_epoch=True)
@@ -204,7 +206,7 @@
         return self._propose_next()
 
     def _open_proposals(self, start: int) -> list[Proposal]:
-        accepted = (told.accepted for told in self.told.values())
+        accepted = (told.accepted for told in self.rank_states.values())
         return [
             one for one in accepted if one is not None and one.window.start == start
         ]
@@ -217,7 +219,7 @@
 
     def _propose_next(self) -> list[LeaderEffect]:
         end = self._granted_end()
-        foremost = max(told.engine.step for told in self.told.values())
+        foremost = max(told.engine.step for told in self.rank_states.values())
         if end - foremost > self._pace.ahead_steps:
             return []
         return self._propose(
@@ -227,7 +229,7 @@
     def _next_map(self) -> int:
         # Guards against a granted map whose weights are still being fetched:
         # the group would stand still for as long as the weight store takes.
-        engines = [told.engine for told in self.told.values()]
+        engines = [told.engine for told in self.rank_states.values()]
         ready = all(self.wanted_map in engine.weights for engine in engines)
         if ready or self.granted is None:
             return self.wanted_map
@@ -241,7 +243,7 @@
         self._done.clear()
         return self._send(self._ranks)
 
-    def _life_changed(self, rank: int) -> list[LeaderEffect]:
+    def _rank_restarted(self, rank: int) -> list[LeaderEffect]:
         # Guards against two windows for the same steps in one term: a rank's
         # agent restarts in the round, the window is planned anew under another
         # map, and a late copy of the first proposal replaces the second at a
@@ -266,5 +268,5 @@
             )
         assert self.window is not None
         kind = Propose if self.phase is Phase.PROPOSING else Commit
-        incarnation = self.told[rank].incarnation
+        incarnation = self.rank_states[rank].incarnation
         return kind(self.term, self.epoch, incarnation, self.window)
--- a/packages/experts/src/fuchsiahatch_experts/orders.py
+++ b/packages/experts/src/fuchsiahatch_experts/orders.py
@@ -34,7 +34,7 @@
         self._opens_ms = now_ms
         self._wait_for_lost_orders(now_ms)
 
-    def may_pass(self, order: "Order", now_ms: int) -> bool:
+    def may_send(self, order: "Order", now_ms: int) -> bool:
         """Say whether an order may be given now.
 
         Notes
@@ -47,16 +47,16 @@
         free = not self._outstanding and now_ms >= self._opens_ms
         return free and (order.term == 0 or order.term >= self._term)
 
-    def given(self, order: "Order") -> None:
+    def note_sent(self, order: "Order") -> None:
         """Note that an order has gone out."""
         self._term = max(self._term, order.term)
         self._outstanding = True
 
-    def answered(self) -> None:
+    def note_answer(self) -> None:
         """Note the engine's answer."""
         self._outstanding = False
 
-    def lost(self, now_ms: int) -> None:
+    def note_lost(self, now_ms: int) -> None:
         """Note that no answer came; the order may still be carried out."""
         self._outstanding = False
         self._wait_for_lost_orders(now_ms)
--- a/packages/experts/src/fuchsiahatch_experts/rank_orders.py
+++ b/packages/experts/src/fuchsiahatch_experts/rank_orders.py
@@ -87,7 +87,7 @@
     armed: Armed | None
     held: int | None
     experts: tuple[tuple[int, ...], ...] | None = None
-    vouched: int = 0
+    uncommitted_version: int = 0
 
 
 class Order(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/experts/src/fuchsiahatch_experts/ranks.py
+++ b/packages/experts/src/fuchsiahatch_experts/ranks.py
@@ -10,7 +10,6 @@
     Commit,
     Committed,
     EngineState,
-    GiveOrder,
     LoadWeights,
     Order,
     Proposal,
@@ -19,6 +18,7 @@
     Refused,
     Reply,
     Request,
+    SendOrder,
     Starved,
     Told,
     Window,
@@ -85,16 +85,16 @@
             return self._accept(request, now_ms)
         return self._commit(request, now_ms)
 
-    def look(self, now_ms: int) -> list[RankEffect]:
+    def read_engine(self, now_ms: int) -> list[RankEffect]:
         """Read the engine: when a life starts, and while no leader asks."""
         order = Order(term=0, epoch=0)
-        if not self._gate.may_pass(order, now_ms):
+        if not self._gate.may_send(order, now_ms):
             return []
         return self._give(None, order)
 
     def engine_answered(self, state: EngineState) -> list[RankEffect]:
         """Take the engine's answer to the order that is out."""
-        self._gate.answered()
+        self._gate.note_answer()
         starved = self._starvation(state)
         if self.engine is not None and state.epoch != self.engine.epoch:
             self.accepted = None
@@ -104,13 +104,13 @@
 
     def engine_refused(self) -> list[RankEffect]:
         """Take the engine's word that the order's fencing number is old."""
-        self._gate.answered()
+        self._gate.note_answer()
         request, self._pending = self._pending, None
         return self._refuse_pending(request, Code.OLD_TERM)
 
     def engine_lost(self, now_ms: int) -> list[RankEffect]:
         """Take that the engine gave no answer; what it holds is unknown now."""
-        self._gate.lost(now_ms)
+        self._gate.note_lost(now_ms)
         self.engine = None
         request, self._pending = self._pending, None
         return self._refuse_pending(request, Code.UPSTREAM_FAILED)
@@ -133,7 +133,7 @@
 
     def _promise(self, ask: Ask, now_ms: int) -> list[RankEffect]:
         order = Order(ask.term, ask.epoch, ask.begin)
-        if not self._gate.may_pass(order, now_ms):
+        if not self._gate.may_send(order, now_ms):
             return [self._refuse(ask, Code.IN_PROGRESS)]
         self.term = ask.term
         return self._give(ask, order)
@@ -145,13 +145,13 @@
             self.incarnation,
             ask.term,
             ask.number,
-            self._known_engine(),
+            self._last_engine_state(),
             self.accepted,
         )
         missing = ask.wanted_map not in self.engine.weights
         return [Reply(told), *[LoadWeights(ask.wanted_map)] * missing]
 
-    def _known_engine(self) -> EngineState:
+    def _last_engine_state(self) -> EngineState:
         # Guards against an agent that restarts after its engine was granted a
         # window: it would call the window free, the next leader would grant
         # the same steps under another map to the others, and two ranks would
@@ -160,12 +160,12 @@
         return self.engine
 
     def _accept(self, propose: Propose, now_ms: int) -> list[RankEffect]:
-        known = self._known_engine()
+        known = self._last_engine_state()
         window = propose.window
         if window != known.granted and window.start != known.granted_end:
             return [self._refuse(propose, Code.NO_GRANT)]
         order = Order(term=0, epoch=0)
-        if self._has_weights(window) or not self._gate.may_pass(order, now_ms):
+        if self._has_weights(window) or not self._gate.may_send(order, now_ms):
             return self._accept_known(propose)
         # Guards against a group that stands still although its weights have
         # come: while a window is proposed nobody asks for the engine's state.
@@ -191,17 +191,17 @@
         if self.accepted != Proposal(commit.term, commit.window):
             return [self._refuse(commit, Code.NO_GRANT)]
         order = Order(commit.term, commit.epoch, window=commit.window)
-        if not self._gate.may_pass(order, now_ms):
+        if not self._gate.may_send(order, now_ms):
             return [self._refuse(commit, Code.IN_PROGRESS)]
         return self._give(commit, order)
 
     def _give(self, request: Request | None, order: Order) -> list[RankEffect]:
         self._pending = request
-        self._gate.given(order)
-        return [GiveOrder(order)]
+        self._gate.note_sent(order)
+        return [SendOrder(order)]
 
     def _fault_of(self, request: _Wish) -> Code | None:
-        if not self._is_for_this_life(request):
+        if not self._is_for_this_incarnation(request):
             return Code.OLD_INCARNATION
         if self.engine is None:
             return Code.UPSTREAM_FAILED
@@ -209,7 +209,7 @@
             return Code.OLD_EPOCH
         return None
 
-    def _is_for_this_life(self, request: _Wish) -> bool:
+    def _is_for_this_incarnation(self, request: _Wish) -> bool:
         # Guards against a message that outlives the agent it was meant for: a
         # restarted rank has forgotten the higher term that it promised, would
         # take an old leader's window, and run it under the old map while the
--- a/packages/experts/src/fuchsiahatch_experts/switch_versions.py
+++ b/packages/experts/src/fuchsiahatch_experts/switch_versions.py
@@ -8,8 +8,8 @@
 RANKS_PER_VERSION = 256
 #: Versions that one term may use, after which its leader makes way. With them a version
 #: stays below 2^53 for terms up to thirteen million.
-NUMBERS_PER_TERM = 10_000
-_VERSIONS_PER_TERM = NUMBERS_PER_TERM * RANKS_PER_VERSION**2
+VERSIONS_PER_TERM = 10_000
+_VERSIONS_PER_TERM = VERSIONS_PER_TERM * RANKS_PER_VERSION**2
 
 
 def make_version(term: int, number: int, standby: int, last: int) -> int:
@@ -40,6 +40,6 @@
     return any(
         report.armed is None
         or report.armed.version != version
-        or (report.rank == standby and report.vouched == version)
+        or (report.rank == standby and report.uncommitted_version == version)
         for report in reports
     )
--- a/packages/experts/src/fuchsiahatch_experts/switching.py
+++ b/packages/experts/src/fuchsiahatch_experts/switching.py
@@ -35,7 +35,7 @@
 )
 from fuchsiahatch_experts.sent_orders import SentOrders
 from fuchsiahatch_experts.switch_versions import (
-    NUMBERS_PER_TERM,
+    VERSIONS_PER_TERM,
     is_last_unarmed,
     last_rank,
     make_version,
@@ -45,13 +45,13 @@
 
 #: Passes between the one last begun and the one that is held. With one, the hold often
 #: comes too late and is refused; with two, the arms are mostly out before it is due.
-HOLD_AHEAD = 2
+HOLD_AHEAD_PASSES = 2
 #: Most passes in between, for a group whose ranks take long to arm.
-MOST_AHEAD = 4
+MAX_HOLD_AHEAD_PASSES = 4
 #: Passes that a new leader lets begin before its first hold. An earlier leader's `go`
-#: may still be carried out late; it names a pass at most `MOST_AHEAD` beyond the last
-#: one begun, so that it can't end a later hold too soon.
-TAKEOVER_PASSES = MOST_AHEAD
+#: may still be carried out late; it names a pass at most `MAX_HOLD_AHEAD_PASSES`
+#: beyond the last one begun, so that it can't end a later hold too soon.
+TAKEOVER_PASSES = MAX_HOLD_AHEAD_PASSES
 #: Time that the copies may take; one of 1.7 GB takes 150 ms over the engines' links.
 COPY_LIMIT_MS = 2_000
 #: Time for which passes may be held back before a switch is given up. Callers of a
@@ -146,7 +146,7 @@
         self._seen_ms: dict[int, int] = {}
         self._next_number = 1
         self._held_step = 0
-        self._hold_ahead = HOLD_AHEAD
+        self._hold_ahead = HOLD_AHEAD_PASSES
         self.epoch = -1
         self.experts = 0
         self.known_map: t.Callable[[int], Placement | None] = lambda version: None
@@ -216,13 +216,13 @@
     @property
     def exhausted(self) -> bool:
         """Whether the term has no version left for another switch."""
-        return self._next_number + 1 >= NUMBERS_PER_TERM
+        return self._next_number + 1 >= VERSIONS_PER_TERM
 
     def start(
         self,
         placement: Placement,
         now_ms: int,
-        hold_ahead: int = HOLD_AHEAD,
+        hold_ahead: int = HOLD_AHEAD_PASSES,
         standby: int | None = None,
     ) -> bool:
         """Begin to switch to another map; return whether it was begun.
@@ -232,8 +232,8 @@
         placement : Placement
         now_ms : int
         hold_ahead : int, optional
-            Passes between the one last begun and the one that is held, `MOST_AHEAD`
-            at most.
+            Passes between the one last begun and the one that is held,
+            `MAX_HOLD_AHEAD_PASSES` at most.
         standby : int, optional
             Rank that holds passes; the one behind the leader's own by default.
         """
--- a/packages/experts/src/fuchsiahatch_experts/terms.py
+++ b/packages/experts/src/fuchsiahatch_experts/terms.py
@@ -185,7 +185,7 @@
             return []
         return self._campaign.begin(False, now_ms)
 
-    def heard(self, now_ms: int) -> None:
+    def note_leader_contact(self, now_ms: int) -> None:
         """Take a leader's request whose term the own rank did not refuse.
 
         Notes
@@ -218,9 +218,9 @@
         """Take the group's record."""
         if self._data.wanted is None:
             return self._campaign.record_read(record, version)
-        return self.swapped(record == self._data.wanted, now_ms)
+        return self.swap_answered(record == self._data.wanted, now_ms)
 
-    def swapped(self, won: bool, now_ms: int) -> _Effects:
+    def swap_answered(self, won: bool, now_ms: int) -> _Effects:
         """Take the answer to the swap."""
         self._leads = won
         return self._campaign.won() if won else self._campaign.ended(now_ms)
--- a/packages/gateway/src/fuchsiahatch_gateway/hold_timing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/hold_timing.py
@@ -2,7 +2,7 @@
 
 import math
 
-from fuchsiahatch_experts.switching import HOLD_AHEAD, MOST_AHEAD
+from fuchsiahatch_experts.switching import HOLD_AHEAD_PASSES, MAX_HOLD_AHEAD_PASSES
 
 #: Passes of this length or more leave time to hold the very next one: a hold and its
 #: arms take some 20 ms. Holding the second next would cost a pass of up to 1.5 s more.
@@ -41,7 +41,7 @@
         if pass_ms >= LONG_PASS_MS:
             return 1
         if not pass_ms:
-            return HOLD_AHEAD
+            return HOLD_AHEAD_PASSES
         # The last one begun may be about to end.
         needed = 1 + math.ceil(self.arms_ms / pass_ms)
-        return min(max(needed, HOLD_AHEAD), MOST_AHEAD)
+        return min(max(needed, HOLD_AHEAD_PASSES), MAX_HOLD_AHEAD_PASSES)
--- a/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
@@ -173,7 +173,7 @@
             armed=seen.armed,
             held=seen.held,
             experts=self._experts,
-            vouched=self.vouched,
+            uncommitted_version=self.vouched,
         )
 
     @property
--- a/tests/experts/sessions.py
+++ b/tests/experts/sessions.py
@@ -7,17 +7,17 @@
 from fuchsiahatch_experts.grants import (
     Ask,
     Commit,
-    GiveOrder,
     LoadWeights,
     Propose,
     Refused,
     Reply,
     Send,
+    SendOrder,
     Starved,
     StepDown,
     Told,
 )
-from fuchsiahatch_experts.leaders import Leader, Pace
+from fuchsiahatch_experts.leaders import Leader, WindowSettings
 from fuchsiahatch_experts.orders import OrderGate
 from fuchsiahatch_experts.ranks import Rank
 from fuchsiahatch_experts.terms import (
@@ -30,7 +30,7 @@
 )
 from fuchsiahatch_standins.lockstep import RankEngine
 
-PACE = Pace(window_steps=4, ahead_steps=2)
+PACE = WindowSettings(window_steps=4, ahead_steps=2)
 SILENCE_MS = 1_000
 SETTLE_MS = 500
 
@@ -124,7 +124,7 @@
         machine, now_ms = self.ranks[rank], self.clock.now_ms()
         effects = machine.receive(request, now_ms)
         if not any(map(is_old_term, effects)):
-            self.candidates[rank].heard(now_ms)
+            self.candidates[rank].note_leader_contact(now_ms)
         self.log(f"leader {sender} to rank {rank}: {show(request)}")
         self.do_rank(rank, effects, sender)
 
@@ -142,7 +142,7 @@
                 self.log(
                     f"rank {rank} stands at step {effect.step}: {effect.code.name}"
                 )
-            elif isinstance(effect, GiveOrder):
+            elif isinstance(effect, SendOrder):
                 state = self.engines[rank].take(effect.order)
                 if state is None:
                     self.log(f"engine {rank} refuses order of term {effect.order.term}")
@@ -190,7 +190,7 @@
                 read = candidate.record_read(self.record, self.version, now_ms)
                 self.campaign(agent, read)
             else:
-                self.campaign(agent, candidate.swapped(self.swap(effect), now_ms))
+                self.campaign(agent, candidate.swap_answered(self.swap(effect), now_ms))
 
     def swap(self, effect: SwapTerm):
         if effect.expected != self.version:
@@ -208,7 +208,7 @@
             self.violations += len(maps) > 1
             self.log(f"step {ran[0][1]} runs under map {sorted(maps)}")
         for rank, machine in self.ranks.items():
-            self.do_rank(rank, machine.look(self.clock.now_ms()))
+            self.do_rank(rank, machine.read_engine(self.clock.now_ms()))
 
 
 def is_old_term(effect):
--- a/tests/experts/test_orders.py
+++ b/tests/experts/test_orders.py
@@ -10,14 +10,14 @@
     def test_orders_pass_at_once_and_one_at_a_time(self):
         gate = OrderGate(True, SETTLE_MS, now_ms=0)
         order = Order(term=2, epoch=1)
-        self.assertTrue(gate.may_pass(order, 0))
-        gate.given(order)
-        self.assertFalse(gate.may_pass(order, 1))
-        gate.answered()
-        self.assertTrue(gate.may_pass(order, 1))
-        gate.given(order)
-        gate.lost(2)
-        self.assertTrue(gate.may_pass(order, 2))
+        self.assertTrue(gate.may_send(order, 0))
+        gate.note_sent(order)
+        self.assertFalse(gate.may_send(order, 1))
+        gate.note_answer()
+        self.assertTrue(gate.may_send(order, 1))
+        gate.note_sent(order)
+        gate.note_lost(2)
+        self.assertTrue(gate.may_send(order, 2))
 
 
 class TestEngineThatIgnoresFencing(unittest.TestCase):
@@ -31,17 +31,17 @@
         before the order arrives and tells the leader what it read.
         """
         order = Order(term=1, epoch=1)
-        self.assertFalse(self.gate.may_pass(order, 1_499))
-        self.assertTrue(self.gate.may_pass(order, 1_500))
+        self.assertFalse(self.gate.may_send(order, 1_499))
+        self.assertTrue(self.gate.may_send(order, 1_500))
 
     def test_a_lost_order_is_waited_for(self):
         order = Order(term=1, epoch=1)
-        self.gate.given(order)
-        self.gate.lost(2_000)
-        self.assertFalse(self.gate.may_pass(order, 2_499))
-        self.assertTrue(self.gate.may_pass(order, 2_500))
+        self.gate.note_sent(order)
+        self.gate.note_lost(2_000)
+        self.assertFalse(self.gate.may_send(order, 2_499))
+        self.assertTrue(self.gate.may_send(order, 2_500))
 
     def test_an_order_of_an_old_term_is_stopped(self):
-        self.gate.given(Order(term=2, epoch=1))
-        self.gate.answered()
-        self.assertFalse(self.gate.may_pass(Order(term=1, epoch=1), 3_000))
+        self.gate.note_sent(Order(term=2, epoch=1))
+        self.gate.note_answer()
+        self.assertFalse(self.gate.may_send(Order(term=1, epoch=1), 3_000))
--- a/tests/experts/test_ranks.py
+++ b/tests/experts/test_ranks.py
@@ -6,12 +6,12 @@
     Ask,
     Commit,
     EngineState,
-    GiveOrder,
     LoadWeights,
     Order,
     Propose,
     Refused,
     Reply,
+    SendOrder,
     Starved,
     Window,
 )
@@ -61,7 +61,7 @@
         """
         self.join()
         missing = self.refused(Code.WEIGHTS_MISSING)
-        self.assertEqual(self.propose(Window(0, 4, 2)), [GiveOrder(READ)])
+        self.assertEqual(self.propose(Window(0, 4, 2)), [SendOrder(READ)])
         refused = self.rank.engine_answered(BLANK)
         self.assertEqual(refused, [missing, LoadWeights(2)])
         self.assertIsNone(self.rank.accepted)
@@ -104,7 +104,7 @@
         return self.commit(FIRST)
 
     def test_an_order_names_the_term(self):
-        self.assertEqual(self.grant(), [GiveOrder(Order(3, 1, window=FIRST))])
+        self.assertEqual(self.grant(), [SendOrder(Order(3, 1, window=FIRST))])
 
     def test_after_a_lost_answer_nothing_is_taken_for_known(self):
         """A rank runs a window twice planned, under two maps.
@@ -131,7 +131,7 @@
 
 class TestStarvation(RankCase):
     def look(self, step):
-        self.rank.look(0)
+        self.rank.read_engine(0)
         return self.rank.engine_answered(EngineState(1, step, FIRST, frozenset({1})))
 
     def test_it_is_said_once(self):
--- a/tests/experts/test_switching.py
+++ b/tests/experts/test_switching.py
@@ -10,7 +10,7 @@
     RankReport,
 )
 from fuchsiahatch_experts.switch_versions import last_rank, newest_version
-from fuchsiahatch_experts.switching import MOST_AHEAD, Phase, Switch
+from fuchsiahatch_experts.switching import MAX_HOLD_AHEAD_PASSES, Phase, Switch
 from fuchsiahatch_standins.rank_rules import MixedMaps
 from tests.experts.switch_model import RANKS, Leader, Model
 
@@ -113,8 +113,8 @@
 class HoldsFarAhead(Switch):
     __slots__ = ()
 
-    def start(self, placement, now_ms, hold_ahead=MOST_AHEAD, standby=None):
-        return super().start(placement, now_ms, MOST_AHEAD, standby)
+    def start(self, placement, now_ms, hold_ahead=MAX_HOLD_AHEAD_PASSES, standby=None):
+        return super().start(placement, now_ms, MAX_HOLD_AHEAD_PASSES, standby)
 
 
 class TestSwitch(unittest.TestCase):
@@ -223,7 +223,7 @@
                     "prepared": self.version,
                     "held": hold.step if rank == 1 else None,
                     "armed": armed if rank in armed_ranks else None,
-                    "vouched": self.version if vouched and rank == 1 else 0,
+                    "uncommitted_version": self.version if vouched and rank == 1 else 0,
                 }
                 other.observe(report(rank, **changes), now_ms)
         return other, hold.step
--- a/tests/experts/test_terms.py
+++ b/tests/experts/test_terms.py
@@ -28,7 +28,7 @@
 
 class TestWinning(CampaignCase):
     def test_a_leader_that_speaks_is_followed(self):
-        self.campaign.heard(1_500)
+        self.campaign.note_leader_contact(1_500)
         self.assertEqual(self.campaign.tick(3_000), [])
 
     def test_silence_starts_a_campaign(self):
@@ -36,18 +36,18 @@
         self.assertEqual(
             self.campaign.record_read(OTHER, 17, 2_050), [SwapTerm(OWN, 17)]
         )
-        self.assertEqual(self.campaign.swapped(True, 2_100), [Lead(5, 2, False)])
+        self.assertEqual(self.campaign.swap_answered(True, 2_100), [Lead(5, 2, False)])
 
     def test_the_first_term_begins_an_epoch(self):
         self.start()
         wanted = TermRecord(1, 1, 0, "life-a")
         swap = self.campaign.record_read(TermRecord(), 0, 2_050)
         self.assertEqual(swap, [SwapTerm(wanted, 0)])
-        self.assertEqual(self.campaign.swapped(True, 2_100), [Lead(1, 1, True)])
+        self.assertEqual(self.campaign.swap_answered(True, 2_100), [Lead(1, 1, True)])
 
     def test_a_lost_race_waits_out_another_silence(self):
         self.swap()
-        self.assertEqual(self.campaign.swapped(False, 2_100), [Follow()])
+        self.assertEqual(self.campaign.swap_answered(False, 2_100), [Follow()])
         self.assertEqual(self.campaign.tick(4_000), [])
         self.assertEqual(self.campaign.tick(4_100), [Follow(), ReadTerm()])
 
@@ -56,7 +56,7 @@
     def setUp(self):
         super().setUp()
         self.swap()
-        self.campaign.swapped(True, 2_100)
+        self.campaign.swap_answered(True, 2_100)
 
     def test_a_new_epoch_raises_term_and_epoch(self):
         self.assertEqual(self.campaign.take_term(True, 3_000), [Follow(), ReadTerm()])
@@ -64,7 +64,7 @@
         self.assertEqual(
             self.campaign.record_read(OWN, 18, 2_100), [SwapTerm(wanted, 18)]
         )
-        self.assertEqual(self.campaign.swapped(True, 3_100), [Lead(6, 3, True)])
+        self.assertEqual(self.campaign.swap_answered(True, 3_100), [Lead(6, 3, True)])
 
     def test_stepping_down_waits_out_a_silence(self):
         self.assertEqual(self.campaign.step_down(3_000), [Follow()])
@@ -103,7 +103,7 @@
         term in between.
         """
         self.swap()
-        self.campaign.swapped(True, 2_100)
+        self.campaign.swap_answered(True, 2_100)
         self.campaign.step_down(2_200, highest_term=90)
         self.campaign.tick(4_200)
         (swap,) = self.campaign.record_read(OTHER, 17, 4_250)
--- a/tests/gateway/test_hold_timing.py
+++ b/tests/gateway/test_hold_timing.py
@@ -1,6 +1,10 @@
 import unittest
 
-from fuchsiahatch_experts.switching import HOLD_AHEAD, MOST_AHEAD, Phase
+from fuchsiahatch_experts.switching import (
+    HOLD_AHEAD_PASSES,
+    MAX_HOLD_AHEAD_PASSES,
+    Phase,
+)
 from fuchsiahatch_gateway.hold_timing import HoldTiming
 from tests.gateway.led_groups import LedGroup
 from tests.loopback import run
@@ -22,21 +26,21 @@
 
     def test_quick_arms_hold_the_second_next_pass(self):
         timing = HoldTiming()
-        self.assertEqual(timing.passes_ahead(0.0), HOLD_AHEAD)
+        self.assertEqual(timing.passes_ahead(0.0), HOLD_AHEAD_PASSES)
         timing.note(QUICK_MS)
-        self.assertEqual(timing.passes_ahead(PASS_MS), HOLD_AHEAD)
+        self.assertEqual(timing.passes_ahead(PASS_MS), HOLD_AHEAD_PASSES)
 
     def test_a_slow_switch_is_forgotten_behind_quick_ones(self):
         timing = HoldTiming()
         timing.note(SLOW_MS)
         for _ in range(15):
             timing.note(QUICK_MS)
-        self.assertEqual(timing.passes_ahead(PASS_MS), HOLD_AHEAD)
+        self.assertEqual(timing.passes_ahead(PASS_MS), HOLD_AHEAD_PASSES)
 
     def test_no_hold_is_farther_ahead_than_a_new_leader_waits(self):
         timing = HoldTiming()
         timing.note(10 * SLOW_MS)
-        self.assertEqual(timing.passes_ahead(10.0), MOST_AHEAD)
+        self.assertEqual(timing.passes_ahead(10.0), MAX_HOLD_AHEAD_PASSES)
 
     def test_long_passes_are_held_at_once(self):
         timing = HoldTiming()
--- a/tests/gateway/test_restored_leaders.py
+++ b/tests/gateway/test_restored_leaders.py
@@ -8,7 +8,7 @@
 )
 from fuchsiahatch_core.clock import Clock, ManualClock
 from fuchsiahatch_experts import planning
-from fuchsiahatch_experts.switch_versions import NUMBERS_PER_TERM, make_version
+from fuchsiahatch_experts.switch_versions import VERSIONS_PER_TERM, make_version
 from fuchsiahatch_gateway.defaults import (
     LEADER_TTL_MS,
     LEADERS_PREFIX,
@@ -40,9 +40,9 @@
         for era in (0, 1, 33, 4_095, 1_770_342_559):
             with self.subTest(era=era):
                 term = takeover_term(term_of(era, 5_000_000))
-                version = make_version(term, NUMBERS_PER_TERM - 1, 255, 255)
+                version = make_version(term, VERSIONS_PER_TERM - 1, 255, 255)
                 self.assertLess(version, 2**63)
-        last = make_version(term_of(33, 100_000), NUMBERS_PER_TERM - 1, 255, 255)
+        last = make_version(term_of(33, 100_000), VERSIONS_PER_TERM - 1, 255, 255)
         self.assertLess(last, 2**53)
 
     def elect(self, work):
