--- a/packages/experts/src/fuchsiahatch_experts/maps.py
+++ b/packages/experts/src/fuchsiahatch_experts/maps.py
@@ -1,4 +1,4 @@
-"""Expert maps: which ranks hold which experts, and the load that follows."""
+"""Expert maps: which ranks hold which experts, and the resulting load."""
 
 import dataclasses
 import typing as t
@@ -13,19 +13,19 @@
 
 
 class MapError(FuchsiahatchError):
-    """An expert map can't be used by any engine."""
+    """An expert map that no engine can use."""
 
     code = Code.RECORD_INVALID
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class ExpertMap:
-    """Where each expert's weights are.
+    """Placement of each expert's weights.
 
     Attributes
     ----------
     placed : ndarray of bool, shape (layers, experts, ranks)
-        Whether a rank holds a replica. A rank holds an expert once at most.
+        Whether a rank holds a replica. A rank holds an expert at most once.
 
     Notes
     -----
@@ -40,7 +40,7 @@
 
 
 def check_map(expert_map: ExpertMap, slots: int) -> None:
-    """Check that a map serves every expert within the memory limit.
+    """Check that a map places every expert and fits into the ranks' memory.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
     Raises
     ------
     MapError
-        When an expert is nowhere, or a rank holds more than its slots.
+        When an expert is on no rank, or a rank holds more experts than its slots.
     """
     if not expert_map.placed.any(axis=2).all():
         raise MapError("an expert is on no rank; place every expert at least once")
@@ -81,9 +81,9 @@
 
 
 def count_moves(current: ExpertMap, target: ExpertMap) -> "npt.NDArray[np.int_]":
-    """Return how many experts must be fetched to go from one map to another.
+    """Return how many experts must be fetched to change from one map to another.
 
-    Dropping a replica costs nothing, so only new replicas count.
+    Removing a replica costs nothing, so only new replicas count.
 
     Returns
     -------
