--- a/packages/experts/src/fuchsiahatch_experts/grants.py
+++ b/packages/experts/src/fuchsiahatch_experts/grants.py
@@ -1,4 +1,4 @@
-"""Typed messages of step grants: between leader and ranks, and to the engines."""
+"""Typed messages of step grants between leader, ranks and engines."""
 
 import dataclasses
 import typing as t
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """A window as a rank accepted it, with the term it was proposed in."""
+    """A window that a rank accepted, with the term in which it was proposed."""
 
     term: int
     window: Window
@@ -28,20 +28,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine says of itself.
+    """State of an engine.
 
     Attributes
     ----------
     epoch : int
-        Group epoch that it was started for; 0 for a new engine.
+        Group epoch that the engine was started for; 0 for a new engine.
     step : int
-        Next step that it will run.
+        Next step that the engine will run.
     granted : Window or None
-        The last window it was granted in this epoch.
+        The last window that the engine was granted in this epoch.
     weights : frozenset of int
         Map versions whose weights are in place.
     compute_ms : float
-        Its own compute time per step, smoothed, without waiting for others.
+        Smoothed compute time per step, without the time spent waiting for other ranks.
     """
 
     epoch: int = 0
@@ -63,13 +63,13 @@
     Attributes
     ----------
     term : int
-        The fencing number; 0 only reads, whatever the engine has seen.
+        The fencing number; 0 only reads the state, whatever term the engine has seen.
     epoch : int
         The group epoch that the order belongs to.
     begin : bool
-        Whether an engine of an earlier epoch shall start this one at step 0.
+        Whether an engine of an earlier epoch starts this epoch at step 0.
     window : Window or None
-        A window to grant; None only raises the fencing number and reads.
+        A window to grant; None only raises the fencing number and reads the state.
     """
 
     term: int
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ask:
-    """Leader to rank: promise this term and tell your state; also the heartbeat."""
+    """Leader to rank: promise this term and report the state; also the heartbeat."""
 
     term: int
     epoch: int
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Told:
-    """Answer to `Ask`; ``number`` is that of the question."""
+    """Answer to `Ask`: the rank's state; ``number`` is that of the `Ask`."""
 
     rank: int
     incarnation: str
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Propose:
-    """Leader to one incarnation of a rank: will you run this window?"""
+    """Leader to one incarnation of a rank: accept this window or refuse it."""
 
     term: int
     epoch: int
@@ -123,7 +123,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Commit:
-    """Leader to one incarnation of a rank: all have accepted, grant it."""
+    """Leader to one incarnation of a rank: all ranks accepted the window, grant it."""
 
     term: int
     epoch: int
@@ -143,12 +143,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Answer to any of them: why not, with the rank's own term and incarnation.
+    """Refusal of any request, with the reason and the rank's term and incarnation.
 
     Attributes
     ----------
     asked_term : int
-        The term of the message that is refused.
+        The term of the refused message.
     """
 
     rank: int
@@ -164,14 +164,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Effect of a rank: answer the leader."""
+    """Effect of a rank: send an answer to the leader."""
 
     answer: Answer
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Effect of a rank: give its engine an order and bring back the answer."""
+    """Effect of a rank: send its engine an order and pass back the answer."""
 
     order: Order
 
@@ -185,7 +185,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Starved:
-    """Effect of a rank: its engine has run all it was granted and stands still."""
+    """Effect of a rank: its engine has run all granted steps and is blocked."""
 
     step: int
     code: Code = Code.NO_GRANT
@@ -201,12 +201,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeTerm:
-    """Effect of a leader: this term can't go on, take a new one.
+    """Effect of a leader: this term can't continue, campaign for a new one.
 
     Attributes
     ----------
     new_epoch : bool
-        Whether the group starts anew, as after a lost host.
+        Whether the group starts a new epoch, as after the loss of a host.
     """
 
     new_epoch: bool = False
--- a/packages/experts/src/fuchsiahatch_experts/leaders.py
+++ b/packages/experts/src/fuchsiahatch_experts/leaders.py
@@ -1,4 +1,4 @@
-"""The leader of one term: it grants windows of steps that all ranks accepted."""
+"""The leader of one term, which grants windows of steps that all ranks accepted."""
 
 import dataclasses
 import enum
@@ -24,7 +24,7 @@
 
 
 class Phase(enum.Enum):
-    """Where a term stands."""
+    """State of a term."""
 
     ASKING = "asking"
     READY = "ready"
@@ -33,19 +33,19 @@
     OVER = "over"
 
 
-_IN_ROUND = (Phase.PROPOSING, Phase.COMMITTING)
+_ROUND_PHASES = (Phase.PROPOSING, Phase.COMMITTING)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WindowSettings:
-    """How far grants run ahead.
+    """Size of windows, and how far ahead they are granted.
 
     Attributes
     ----------
     window_steps : int
         Steps in a window.
     ahead_steps : int
-        Granted steps left at the foremost rank when the next window is proposed.
+        Granted steps left at the most advanced rank when the next window is proposed.
     """
 
     window_steps: int = 64
@@ -58,14 +58,14 @@
     Parameters
     ----------
     term, epoch : int
-        As won by compare-and-swap in the service.
+        As won by compare-and-swap in the key-value service.
     begin : bool
-        Whether the epoch is new, so that engines start it.
+        Whether the epoch is new, so that engines have to start it.
     ranks : int
         Number of ranks in the group.
     wanted_map : int
-        Map version to grant once its weights are in place everywhere.
-    pace : WindowSettings, optional
+        Map version to grant once its weights are in place on all ranks.
+    settings : WindowSettings, optional
 
     Notes
     -----
@@ -73,12 +73,12 @@
     """
 
     __slots__ = (
+        "_answered_ranks",
+        "_ask_number",
         "_begin",
-        "_done",
-        "_heard",
-        "_number",
-        "_pace",
+        "_last_ask_numbers",
         "_ranks",
+        "_settings",
         "epoch",
         "granted",
         "phase",
@@ -95,7 +95,7 @@
         begin: bool,
         ranks: int,
         wanted_map: int,
-        pace: WindowSettings | None = None,
+        settings: WindowSettings | None = None,
     ) -> None:
         self.term = term
         self.epoch = epoch
@@ -106,13 +106,13 @@
         self.window: Window | None = None
         self._begin = begin
         self._ranks = range(ranks)
-        self._pace = WindowSettings() if pace is None else pace
-        self._number = 0
-        self._heard = dict.fromkeys(self._ranks, 0)
-        self._done: set[int] = set()
+        self._settings = WindowSettings() if settings is None else settings
+        self._ask_number = 0
+        self._last_ask_numbers = dict.fromkeys(self._ranks, 0)
+        self._answered_ranks: set[int] = set()
 
     def tick(self) -> list[LeaderEffect]:
-        """Send what is outstanding (again), or the heartbeat."""
+        """Send or resend outstanding requests, or the heartbeat."""
         if self.phase is Phase.OVER:
             return []
         if self.phase is Phase.READY:
@@ -121,61 +121,66 @@
             return self._send(
                 rank for rank in self._ranks if rank not in self.rank_states
             )
-        return self._send(rank for rank in self._ranks if rank not in self._done)
+        return self._send(
+            rank for rank in self._ranks if rank not in self._answered_ranks
+        )
 
     def receive(self, answer: Answer) -> list[LeaderEffect]:
-        """Take a rank's answer."""
+        """Process a rank's answer."""
         if self.phase is Phase.OVER:
             return []
         if isinstance(answer, Refused):
-            return self._refused(answer)
+            return self._handle_refusal(answer)
         if answer.term != self.term:
             return []
         if isinstance(answer, Told):
-            return self._told(answer)
-        if not self._counts(answer):
+            return self._handle_state(answer)
+        if not self._is_expected(answer):
             return []
-        return self._agreed(answer)
+        return self._count_answer(answer)
 
-    def _refused(self, answer: Refused) -> list[LeaderEffect]:
+    def _handle_refusal(self, answer: Refused) -> list[LeaderEffect]:
         if answer.asked_term != self.term:
             return []
         if answer.term > self.term:
-            # Guards against a paused leader that wakes after its successor has
-            # begun: its windows would go out beside the new ones. One refusal
-            # is enough, since every rank has promised the successor's term.
+            # Guards against a paused leader that resumes after its successor has
+            # begun: its windows would compete with the new ones. One refusal is
+            # enough, since every rank has promised the successor's term.
             self.phase = Phase.OVER
             return [StepDown(answer.term)]
         if answer.code is Code.OLD_TERM:
-            return self._end()
-        if answer.code is Code.OLD_INCARNATION and self.phase in _IN_ROUND:
+            return self._end_term()
+        if answer.code is Code.OLD_INCARNATION and self.phase in _ROUND_PHASES:
             return self._rank_restarted(answer.rank)
         return []
 
-    def _told(self, told: Told) -> list[LeaderEffect]:
-        if self.phase in _IN_ROUND or told.number <= self._heard[told.rank]:
+    def _handle_state(self, state: Told) -> list[LeaderEffect]:
+        if (
+            self.phase in _ROUND_PHASES
+            or state.number <= self._last_ask_numbers[state.rank]
+        ):
             return []
-        self._heard[told.rank] = told.number
-        self.rank_states[told.rank] = told
+        self._last_ask_numbers[state.rank] = state.number
+        self.rank_states[state.rank] = state
         if self.phase is Phase.ASKING:
             return self._recover() if len(self.rank_states) == len(self._ranks) else []
-        if not self._fits(told):
-            return self._end(new_epoch=told.engine.epoch < self.epoch)
+        if not self._is_consistent(state):
+            return self._end_term(new_epoch=state.engine.epoch < self.epoch)
         return self._propose_next()
 
-    def _counts(self, answer: Accepted | Committed) -> bool:
-        wanted = Accepted if self.phase is Phase.PROPOSING else Committed
-        if self.phase not in _IN_ROUND or not isinstance(answer, wanted):
+    def _is_expected(self, answer: Accepted | Committed) -> bool:
+        expected_type = Accepted if self.phase is Phase.PROPOSING else Committed
+        if self.phase not in _ROUND_PHASES or not isinstance(answer, expected_type):
             return False
         if answer.window != self.window:
             return False
         return answer.incarnation == self.rank_states[answer.rank].incarnation
 
-    def _agreed(self, answer: Accepted | Committed) -> list[LeaderEffect]:
-        self._done.add(answer.rank)
-        if len(self._done) < len(self._ranks):
+    def _count_answer(self, answer: Accepted | Committed) -> list[LeaderEffect]:
+        self._answered_ranks.add(answer.rank)
+        if len(self._answered_ranks) < len(self._ranks):
             return []
-        self._done.clear()
+        self._answered_ranks.clear()
         if self.phase is Phase.PROPOSING:
             self.phase = Phase.COMMITTING
             return self._send(self._ranks)
@@ -184,21 +189,21 @@
         return self._propose_next()
 
     def _recover(self) -> list[LeaderEffect]:
-        engines = [told.engine for told in self.rank_states.values()]
+        engines = [state.engine for state in self.rank_states.values()]
         if any(engine.epoch != self.epoch for engine in engines):
-            # A new engine knows none of the group's steps: all start anew.
-            return self._end(new_epoch=True)
+            # A new engine knows none of the group's steps, so all start a new epoch.
+            return self._end_term(new_epoch=True)
         self._begin = False
-        foremost = max(engines, key=lambda engine: engine.granted_end)
-        rearmost = min(engines, key=lambda engine: engine.granted_end)
-        self.granted = rearmost.granted
-        if foremost.granted_end > rearmost.granted_end:
-            assert foremost.granted is not None
-            return self._propose(foremost.granted)
-        # Guards against a leader that dies between accept and commit: a commit
-        # may already be with a rank whose answer is lost. Had the window been
-        # planned anew, that rank would run it under the old map.
-        open_proposals = self._open_proposals(foremost.granted_end)
+        most_granted = max(engines, key=lambda engine: engine.granted_end)
+        least_granted = min(engines, key=lambda engine: engine.granted_end)
+        self.granted = least_granted.granted
+        if most_granted.granted_end > least_granted.granted_end:
+            assert most_granted.granted is not None
+            return self._propose(most_granted.granted)
+        # Guards against a leader that fails between accept and commit: a commit may
+        # have reached a rank whose answer was lost. If the window were planned again,
+        # that rank would run it under the old map.
+        open_proposals = self._open_proposals(most_granted.granted_end)
         if open_proposals:
             highest = max(open_proposals, key=lambda proposal: proposal.term)
             return self._propose(highest.window)
@@ -206,30 +211,32 @@
         return self._propose_next()
 
     def _open_proposals(self, start: int) -> list[Proposal]:
-        accepted = (told.accepted for told in self.rank_states.values())
+        accepted = (state.accepted for state in self.rank_states.values())
         return [
-            one for one in accepted if one is not None and one.window.start == start
+            proposal
+            for proposal in accepted
+            if proposal is not None and proposal.window.start == start
         ]
 
-    def _fits(self, told: Told) -> bool:
+    def _is_consistent(self, state: Told) -> bool:
         end = self._granted_end()
-        ahead = told.accepted is not None and told.accepted.window.end > end
-        engine = told.engine
+        ahead = state.accepted is not None and state.accepted.window.end > end
+        engine = state.engine
         return engine.epoch == self.epoch and engine.granted_end == end and not ahead
 
     def _propose_next(self) -> list[LeaderEffect]:
         end = self._granted_end()
-        foremost = max(told.engine.step for told in self.rank_states.values())
-        if end - foremost > self._pace.ahead_steps:
+        highest_step = max(state.engine.step for state in self.rank_states.values())
+        if end - highest_step > self._settings.ahead_steps:
             return []
         return self._propose(
-            Window(end, end + self._pace.window_steps, self._next_map())
+            Window(end, end + self._settings.window_steps, self._next_map())
         )
 
     def _next_map(self) -> int:
-        # Guards against a granted map whose weights are still being fetched:
-        # the group would stand still for as long as the weight store takes.
-        engines = [told.engine for told in self.rank_states.values()]
+        # Guards against granting a map whose weights are still being fetched: the
+        # group would stall until the weight store has delivered them.
+        engines = [state.engine for state in self.rank_states.values()]
         ready = all(self.wanted_map in engine.weights for engine in engines)
         if ready or self.granted is None:
             return self.wanted_map
@@ -238,19 +245,19 @@
     def _propose(self, window: Window) -> list[LeaderEffect]:
         self.window = window
         self.phase = Phase.PROPOSING
-        # What was asked before this round tells of a state that the round changes.
-        self._heard = dict.fromkeys(self._ranks, self._number)
-        self._done.clear()
+        # Answers to earlier `Ask`s are ignored, as this round changes the state.
+        self._last_ask_numbers = dict.fromkeys(self._ranks, self._ask_number)
+        self._answered_ranks.clear()
         return self._send(self._ranks)
 
     def _rank_restarted(self, rank: int) -> list[LeaderEffect]:
-        # Guards against two windows for the same steps in one term: a rank's
-        # agent restarts in the round, the window is planned anew under another
-        # map, and a late copy of the first proposal replaces the second at a
-        # rank that answered both. A new term makes the late copy refused.
-        return self._end()
+        # Guards against two windows for the same steps in one term: a rank's agent
+        # restarts during the round, the window is planned again under another map, and
+        # a late copy of the first proposal replaces the second at a rank that answered
+        # both. With a new term the late copy is refused.
+        return self._end_term()
 
-    def _end(self, new_epoch: bool = False) -> list[LeaderEffect]:
+    def _end_term(self, new_epoch: bool = False) -> list[LeaderEffect]:
         self.phase = Phase.OVER
         return [TakeTerm(new_epoch)]
 
@@ -262,9 +269,9 @@
 
     def _request(self, rank: int) -> Request:
         if self.phase in (Phase.ASKING, Phase.READY):
-            self._number += 1
+            self._ask_number += 1
             return Ask(
-                self.term, self.epoch, self._number, self._begin, self.wanted_map
+                self.term, self.epoch, self._ask_number, self._begin, self.wanted_map
             )
         assert self.window is not None
         kind = Propose if self.phase is Phase.PROPOSING else Commit
--- a/packages/experts/src/fuchsiahatch_experts/ranks.py
+++ b/packages/experts/src/fuchsiahatch_experts/ranks.py
@@ -1,4 +1,4 @@
-"""One rank's part in step grants: it promises, accepts and grants to its engine."""
+"""One rank in step grants: it promises terms, and accepts and grants windows."""
 
 import typing as t
 
@@ -27,25 +27,25 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_experts.orders import OrderGate
 
-_Wish: t.TypeAlias = Propose | Commit
+_WindowRequest: t.TypeAlias = Propose | Commit
 
 
 class Rank:
-    """State of one life of a rank's agent.
+    """State of one incarnation of a rank's agent.
 
     Parameters
     ----------
     rank : int
-        Its number in the group.
+        The rank's number in the group.
     incarnation : str
-        This life of the agent.
+        Identifies this incarnation of the agent.
     gate : OrderGate
-        Passes the orders to the engine.
+        Decides when orders may be sent to the engine.
 
     Notes
     -----
-    A new life knows no term and no accepted window: the engine's state, read
-    at the first `Ask`, stands in for both.
+    A new incarnation knows no term and no accepted window. The engine's state, read
+    at the first `Ask`, replaces both.
 
     .. versionadded:: 0.1
     """
@@ -72,28 +72,28 @@
         self._pending: Request | None = None
 
     def receive(self, request: Request, now_ms: int) -> list[RankEffect]:
-        """Take a leader's request."""
+        """Process a leader's request."""
         if request.term < self.term:
             return [self._refuse(request, Code.OLD_TERM)]
         if isinstance(request, Ask):
             return self._promise(request, now_ms)
-        fault = self._fault_of(request)
-        if fault is not None:
-            return [self._refuse(request, fault)]
+        rejection = self._rejection_of(request)
+        if rejection is not None:
+            return [self._refuse(request, rejection)]
         self.term = request.term
         if isinstance(request, Propose):
             return self._accept(request, now_ms)
         return self._commit(request, now_ms)
 
     def read_engine(self, now_ms: int) -> list[RankEffect]:
-        """Read the engine: when a life starts, and while no leader asks."""
+        """Read the engine's state, after a restart and while no leader asks for it."""
         order = Order(term=0, epoch=0)
         if not self._gate.may_send(order, now_ms):
             return []
-        return self._give(None, order)
+        return self._send_order(None, order)
 
     def engine_answered(self, state: EngineState) -> list[RankEffect]:
-        """Take the engine's answer to the order that is out."""
+        """Process the engine's answer to the outstanding order."""
         self._gate.note_answer()
         starved = self._starvation(state)
         if self.engine is not None and state.epoch != self.engine.epoch:
@@ -103,13 +103,13 @@
         return starved + self._answer(request, state)
 
     def engine_refused(self) -> list[RankEffect]:
-        """Take the engine's word that the order's fencing number is old."""
+        """Process the engine's refusal of an order with an old fencing number."""
         self._gate.note_answer()
         request, self._pending = self._pending, None
         return self._refuse_pending(request, Code.OLD_TERM)
 
     def engine_lost(self, now_ms: int) -> list[RankEffect]:
-        """Take that the engine gave no answer; what it holds is unknown now."""
+        """Process a missing answer: the engine's state is unknown from now on."""
         self._gate.note_lost(now_ms)
         self.engine = None
         request, self._pending = self._pending, None
@@ -119,9 +119,9 @@
         if request is None:
             return []
         if isinstance(request, Ask):
-            return self._tell(request)
+            return self._report_state(request)
         if isinstance(request, Propose):
-            return self._accept_known(request)
+            return self._accept_if_loaded(request)
         if state.granted != request.window:
             return [self._refuse(request, Code.NO_GRANT)]
         return [Reply(self._committed(request))]
@@ -136,11 +136,11 @@
         if not self._gate.may_send(order, now_ms):
             return [self._refuse(ask, Code.IN_PROGRESS)]
         self.term = ask.term
-        return self._give(ask, order)
+        return self._send_order(ask, order)
 
-    def _tell(self, ask: Ask) -> list[RankEffect]:
+    def _report_state(self, ask: Ask) -> list[RankEffect]:
         assert self.engine is not None
-        told = Told(
+        state = Told(
             self.rank,
             self.incarnation,
             ask.term,
@@ -149,29 +149,29 @@
             self.accepted,
         )
         missing = ask.wanted_map not in self.engine.weights
-        return [Reply(told), *[LoadWeights(ask.wanted_map)] * missing]
+        return [Reply(state), *[LoadWeights(ask.wanted_map)] * missing]
 
     def _last_engine_state(self) -> EngineState:
-        # Guards against an agent that restarts after its engine was granted a
-        # window: it would call the window free, the next leader would grant
-        # the same steps under another map to the others, and two ranks would
-        # run one step differently. The engine's own window is told as taken.
+        # Guards against an agent that restarts after its engine was granted a window:
+        # if it reported the window as free, the next leader would grant the same steps
+        # under another map to the other ranks, and two ranks would run one step
+        # differently. The engine's window is therefore reported as granted.
         assert self.engine is not None
         return self.engine
 
     def _accept(self, propose: Propose, now_ms: int) -> list[RankEffect]:
-        known = self._last_engine_state()
+        engine = self._last_engine_state()
         window = propose.window
-        if window != known.granted and window.start != known.granted_end:
+        if window != engine.granted and window.start != engine.granted_end:
             return [self._refuse(propose, Code.NO_GRANT)]
         order = Order(term=0, epoch=0)
         if self._has_weights(window) or not self._gate.may_send(order, now_ms):
-            return self._accept_known(propose)
-        # Guards against a group that stands still although its weights have
-        # come: while a window is proposed nobody asks for the engine's state.
-        return self._give(propose, order)
+            return self._accept_if_loaded(propose)
+        # Guards against a group that stalls although its weights have arrived: while a
+        # window is proposed, no leader asks for the engine's state.
+        return self._send_order(propose, order)
 
-    def _accept_known(self, propose: Propose) -> list[RankEffect]:
+    def _accept_if_loaded(self, propose: Propose) -> list[RankEffect]:
         window = propose.window
         if not self._has_weights(window):
             load = LoadWeights(window.map_version)
@@ -193,14 +193,14 @@
         order = Order(commit.term, commit.epoch, window=commit.window)
         if not self._gate.may_send(order, now_ms):
             return [self._refuse(commit, Code.IN_PROGRESS)]
-        return self._give(commit, order)
+        return self._send_order(commit, order)
 
-    def _give(self, request: Request | None, order: Order) -> list[RankEffect]:
+    def _send_order(self, request: Request | None, order: Order) -> list[RankEffect]:
         self._pending = request
         self._gate.note_sent(order)
         return [SendOrder(order)]
 
-    def _fault_of(self, request: _Wish) -> Code | None:
+    def _rejection_of(self, request: _WindowRequest) -> Code | None:
         if not self._is_for_this_incarnation(request):
             return Code.OLD_INCARNATION
         if self.engine is None:
@@ -209,11 +209,11 @@
             return Code.OLD_EPOCH
         return None
 
-    def _is_for_this_incarnation(self, request: _Wish) -> bool:
-        # Guards against a message that outlives the agent it was meant for: a
-        # restarted rank has forgotten the higher term that it promised, would
-        # take an old leader's window, and run it under the old map while the
-        # others follow the new leader. The old message names the old life.
+    def _is_for_this_incarnation(self, request: _WindowRequest) -> bool:
+        # Guards against a message to an earlier incarnation of the agent: a restarted
+        # rank has forgotten the higher term that it promised, would accept an old
+        # leader's window, and would run it under the old map while the other ranks
+        # follow the new leader. The old message names the old incarnation.
         return request.incarnation == self.incarnation
 
     def _committed(self, commit: Commit) -> Committed:
--- a/tests/experts/sessions.py
+++ b/tests/experts/sessions.py
@@ -1,4 +1,4 @@
-"""A scripted rank group on a manual clock, over the real state machines."""
+"""A scripted rank group on a manual clock, made of the real state machines."""
 
 import collections
 
@@ -30,13 +30,13 @@
 )
 from fuchsiahatch_standins.lockstep import RankEngine
 
-PACE = WindowSettings(window_steps=4, ahead_steps=2)
+WINDOW_SETTINGS = WindowSettings(window_steps=4, ahead_steps=2)
 SILENCE_MS = 1_000
 SETTLE_MS = 500
 
 
 class Session:
-    """Agents, engines and the service; what happens is kept line by line."""
+    """Agents, engines and the key-value service; events are logged line by line."""
 
     def __init__(self, ranks=2, fences=True):
         self.clock = ManualClock()
@@ -45,14 +45,14 @@
         self.service_up = True
         self.record, self.version = TermRecord(), 0
         self.wanted_map = 1
-        self.slow_store = False
+        self.weights_delayed = False
         self.fences = fences
-        self.hold = lambda message: False
-        self.held = []
+        self.is_held_back = lambda message: False
+        self.held_messages = []
         self.queue = collections.deque()
         self.paused = set()
         self.leaders = {}
-        self.lives = collections.Counter()
+        self.incarnations = collections.Counter()
         self.engines = [RankEngine(fences) for _ in range(ranks)]
         for engine in self.engines:
             engine.weights.add(self.wanted_map)
@@ -61,21 +61,21 @@
             self.start(rank)
 
     def start(self, rank):
-        self.lives[rank] += 1
-        life = f"{rank}.{self.lives[rank]}"
+        self.incarnations[rank] += 1
+        incarnation = f"{rank}.{self.incarnations[rank]}"
         now_ms = self.clock.now_ms()
         gate = OrderGate(self.fences, SETTLE_MS, now_ms)
-        self.ranks[rank] = Rank(rank, life, gate)
+        self.ranks[rank] = Rank(rank, incarnation, gate)
         silence_ms = SILENCE_MS + 300 * rank
-        self.candidates[rank] = Candidate(rank, life, silence_ms, now_ms)
+        self.candidates[rank] = Candidate(rank, incarnation, silence_ms, now_ms)
         self.leaders.pop(rank, None)
 
     def restart(self, rank):
         self.log(f"agent {rank} restarts")
         self.start(rank)
 
-    def want(self, map_version):
-        """Want a new map, with its weights in place everywhere."""
+    def set_wanted_map(self, map_version):
+        """Set the wanted map, with its weights in place on all ranks."""
         self.wanted_map = map_version
         for engine in self.engines:
             engine.weights.add(map_version)
@@ -89,54 +89,58 @@
         self.lines.append(f"{self.clock.now_ms():5d} {line}")
 
     def after(self, step_ms):
-        """Let time pass, then let the agents tick and all messages arrive."""
+        """Advance the clock, run the agents' ticks and deliver all messages."""
         self.clock.advance(step_ms)
         for agent, candidate in self.candidates.items():
             if agent in self.paused:
                 continue
             if agent in self.leaders:
                 self.leaders[agent].wanted_map = self.wanted_map
-                self.lead(agent, self.leaders[agent].tick())
-            self.campaign(agent, candidate.tick(self.clock.now_ms()))
+                self.run_leader_effects(agent, self.leaders[agent].tick())
+            self.run_campaign_effects(agent, candidate.tick(self.clock.now_ms()))
         self.deliver()
 
     def deliver(self):
         while self.queue:
-            kind, where, message, sender = self.queue.popleft()
-            if kind == "answer" and where in self.paused:
-                self.held.append((kind, where, message, sender))
-            elif self.hold(message):
-                self.log(f"held back: {show(message)}")
-                self.held.append((kind, where, message, sender))
+            kind, receiver, message, sender = self.queue.popleft()
+            if kind == "answer" and receiver in self.paused:
+                self.held_messages.append((kind, receiver, message, sender))
+            elif self.is_held_back(message):
+                self.log(f"held back: {format_message(message)}")
+                self.held_messages.append((kind, receiver, message, sender))
             elif kind == "request":
-                self.ask_rank(where, message, sender)
-            elif where in self.leaders:
-                self.lead(where, self.leaders[where].receive(message))
+                self.deliver_to_rank(receiver, message, sender)
+            elif receiver in self.leaders:
+                self.run_leader_effects(
+                    receiver, self.leaders[receiver].receive(message)
+                )
 
     def release(self):
-        """Let the messages that were held back arrive now."""
-        self.hold = lambda message: False
-        self.queue.extend(self.held)
-        self.held.clear()
+        """Deliver the messages that were held back."""
+        self.is_held_back = lambda message: False
+        self.queue.extend(self.held_messages)
+        self.held_messages.clear()
         self.deliver()
 
-    def ask_rank(self, rank, request, sender):
-        machine, now_ms = self.ranks[rank], self.clock.now_ms()
-        effects = machine.receive(request, now_ms)
+    def deliver_to_rank(self, rank, request, sender):
+        rank_state, now_ms = self.ranks[rank], self.clock.now_ms()
+        effects = rank_state.receive(request, now_ms)
         if not any(map(is_old_term, effects)):
             self.candidates[rank].note_leader_contact(now_ms)
-        self.log(f"leader {sender} to rank {rank}: {show(request)}")
-        self.do_rank(rank, effects, sender)
+        self.log(f"leader {sender} to rank {rank}: {format_message(request)}")
+        self.run_rank_effects(rank, effects, sender)
 
-    def do_rank(self, rank, effects, sender=None):
-        machine = self.ranks[rank]
+    def run_rank_effects(self, rank, effects, sender=None):
+        rank_state = self.ranks[rank]
         for effect in effects:
             if isinstance(effect, Reply):
-                self.log(f"rank {rank} to leader {sender}: {show(effect.answer)}")
+                self.log(
+                    f"rank {rank} to leader {sender}: {format_message(effect.answer)}"
+                )
                 self.queue.append(("answer", sender, effect.answer, rank))
             elif isinstance(effect, LoadWeights):
                 self.log(f"rank {rank} loads weights of map {effect.map_version}")
-                if not self.slow_store:
+                if not self.weights_delayed:
                     self.engines[rank].weights.add(effect.map_version)
             elif isinstance(effect, Starved):
                 self.log(
@@ -146,25 +150,29 @@
                 state = self.engines[rank].take(effect.order)
                 if state is None:
                     self.log(f"engine {rank} refuses order of term {effect.order.term}")
-                    self.do_rank(rank, machine.engine_refused(), sender)
+                    self.run_rank_effects(rank, rank_state.engine_refused(), sender)
                 else:
-                    self.do_rank(rank, machine.engine_answered(state), sender)
+                    self.run_rank_effects(
+                        rank, rank_state.engine_answered(state), sender
+                    )
 
-    def lead(self, agent, effects):
+    def run_leader_effects(self, agent, effects):
         now_ms = self.clock.now_ms()
         for effect in effects:
             if isinstance(effect, Send):
                 self.queue.append(("request", effect.rank, effect.request, agent))
             elif isinstance(effect, StepDown):
                 self.log(f"leader {agent} steps down before term {effect.term}")
-                ending = self.candidates[agent].step_down(now_ms, effect.term)
-                self.campaign(agent, ending)
+                effects_of_end = self.candidates[agent].step_down(now_ms, effect.term)
+                self.run_campaign_effects(agent, effects_of_end)
             else:
                 self.log(f"leader {agent} needs a new term")
-                taking = self.candidates[agent].take_term(effect.new_epoch, now_ms)
-                self.campaign(agent, taking)
+                term_effects = self.candidates[agent].take_term(
+                    effect.new_epoch, now_ms
+                )
+                self.run_campaign_effects(agent, term_effects)
 
-    def campaign(self, agent, effects):
+    def run_campaign_effects(self, agent, effects):
         candidate, now_ms = self.candidates[agent], self.clock.now_ms()
         for effect in effects:
             if isinstance(effect, Follow):
@@ -179,18 +187,22 @@
                     effect.begin,
                     len(self.ranks),
                     self.wanted_map,
-                    PACE,
+                    WINDOW_SETTINGS,
                 )
                 self.leaders[agent] = leader
-                self.lead(agent, leader.tick())
+                self.run_leader_effects(agent, leader.tick())
             elif not self.service_up:
                 self.log(f"agent {agent} gets no answer from the service")
-                self.campaign(agent, candidate.step_down(now_ms))
+                self.run_campaign_effects(agent, candidate.step_down(now_ms))
             elif isinstance(effect, ReadTerm):
-                read = candidate.record_read(self.record, self.version, now_ms)
-                self.campaign(agent, read)
+                record_effects = candidate.record_read(
+                    self.record, self.version, now_ms
+                )
+                self.run_campaign_effects(agent, record_effects)
             else:
-                self.campaign(agent, candidate.swap_answered(self.swap(effect), now_ms))
+                self.run_campaign_effects(
+                    agent, candidate.swap_answered(self.swap(effect), now_ms)
+                )
 
     def swap(self, effect: SwapTerm):
         if effect.expected != self.version:
@@ -199,7 +211,7 @@
         return True
 
     def run_steps(self, count):
-        """Run steps in lock-step, as far as all engines are granted them."""
+        """Run steps in lock-step, as far as they are granted to all engines."""
         for _ in range(count):
             if not all(engine.may_run() for engine in self.engines):
                 break
@@ -207,8 +219,8 @@
             maps = {version for _, _, version in ran}
             self.violations += len(maps) > 1
             self.log(f"step {ran[0][1]} runs under map {sorted(maps)}")
-        for rank, machine in self.ranks.items():
-            self.do_rank(rank, machine.read_engine(self.clock.now_ms()))
+        for rank, rank_state in self.ranks.items():
+            self.run_rank_effects(rank, rank_state.read_engine(self.clock.now_ms()))
 
 
 def is_old_term(effect):
@@ -216,8 +228,8 @@
     return isinstance(answer, Refused) and answer.code is Code.OLD_TERM
 
 
-def show(message):
-    """Write a message in one short line."""
+def format_message(message):
+    """Return a message as one short line."""
     name = type(message).__name__.lower()
     if isinstance(message, Ask):
         return f"{name}, term {message.term}"
--- a/tests/experts/test_orders.py
+++ b/tests/experts/test_orders.py
@@ -7,7 +7,7 @@
 
 
 class TestEngineThatChecks(unittest.TestCase):
-    def test_orders_pass_at_once_and_one_at_a_time(self):
+    def test_orders_are_sent_without_delay_and_one_at_a_time(self):
         gate = OrderGate(True, SETTLE_MS, now_ms=0)
         order = Order(term=2, epoch=1)
         self.assertTrue(gate.may_send(order, 0))
@@ -24,11 +24,11 @@
     def setUp(self):
         self.gate = OrderGate(False, SETTLE_MS, now_ms=1_000)
 
-    def test_a_new_life_waits_for_orders_of_the_one_before(self):
-        """A rank runs an old window that was told to be free.
+    def test_a_new_incarnation_waits_for_orders_of_the_previous_one(self):
+        """A rank runs an old window that was reported as free.
 
-        The agent dies with an order on its way. Its next life reads the engine
-        before the order arrives and tells the leader what it read.
+        The agent is killed with an order in transit. Its next incarnation reads the
+        engine before the order arrives and reports that state to the leader.
         """
         order = Order(term=1, epoch=1)
         self.assertFalse(self.gate.may_send(order, 1_499))
@@ -41,7 +41,7 @@
         self.assertFalse(self.gate.may_send(order, 2_499))
         self.assertTrue(self.gate.may_send(order, 2_500))
 
-    def test_an_order_of_an_old_term_is_stopped(self):
+    def test_an_order_of_an_old_term_is_not_sent(self):
         self.gate.note_sent(Order(term=2, epoch=1))
         self.gate.note_answer()
         self.assertFalse(self.gate.may_send(Order(term=1, epoch=1), 3_000))
