--- a/packages/experts/src/fuchsiahatch_experts/rank_orders.py
+++ b/packages/experts/src/fuchsiahatch_experts/rank_orders.py
@@ -1,4 +1,4 @@
-"""What a rank of a group may be told, and what it says of itself."""
+"""Orders to a rank of a group, and the rank's reports."""
 
 import enum
 
@@ -9,14 +9,15 @@
 
 
 class OrderKind(enum.Enum):
-    """What a rank may be told.
+    """Kind of an order to a rank.
 
     Attributes
     ----------
     PREPARE, ARM, DISARM, HOLD, GO
-        For its engine.
+        Executed by the rank's engine.
     COMMIT
-        For its agent, the leader's standby: the last rank is about to be armed.
+        Executed by the agent of the leader's standby: the last rank is about to be
+        armed.
     """
 
     PREPARE = "prepare"
@@ -28,16 +29,16 @@
 
 
 class OrderResult(enum.Enum):
-    """What a rank made of an order.
+    """Result of an order.
 
     Attributes
     ----------
     BEGUN
-        It was taken, or its effect is there already.
+        The order was accepted, or its effect is already in place.
     REFUSED
-        It doesn't fit the rank's state; this order will never take effect.
+        The order doesn't fit the rank's state and will never take effect.
     UNKNOWN
-        No answer: it may take effect seconds from now.
+        No answer arrived; the order may take effect seconds later.
     """
 
     BEGUN = "begun"
@@ -46,35 +47,35 @@
 
 
 class Armed(msgspec.Struct, frozen=True, array_like=True):
-    """A map version that a rank switches to as a pass begins."""
+    """A map version that a rank switches to when a given pass begins."""
 
     version: int
     step: int
 
 
 class RankReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one rank's upstream says of itself, read on its own host.
+    """State of one rank's upstream, read on the rank's host.
 
     Attributes
     ----------
     rank, epoch : int
     term : int
-        Highest term that the rank's agent has seen; it takes no order of an older one.
+        Highest term that the rank's agent has seen; it refuses orders of older terms.
     open : bool
-        Whether the group works.
+        Whether the group is working.
     step : int
-        The last pass that was begun.
+        The last pass that began.
     map_version, prepared : int
-        Map in use, and the newest whose copy is complete (0: none).
+        Version of the map in use, and the newest whose copy is complete (0: none).
     armed : Armed or None
     held : int or None
-        Pass that doesn't begin until it is let go.
+        Pass that doesn't begin until it is released.
     experts : tuple of tuple of int, or None
         Experts that the rank holds in the map in use, by layer; None while its agent
         has not read them.
-    vouched : int
-        Newest version that this life of its agent saw prepared, while it has not
-        agreed to its commit; 0 otherwise.
+    uncommitted_version : int
+        Newest version that this incarnation of the agent saw prepared, as long as it
+        has not accepted the version's commit; 0 otherwise.
     """
 
     rank: int
@@ -91,7 +92,7 @@
 
 
 class Order(msgspec.Struct, frozen=True, array_like=True):
-    """One order to one rank; `placement` goes with PREPARE only."""
+    """One order to one rank; `placement` is set for PREPARE only."""
 
     rank: int
     kind: OrderKind
--- a/packages/experts/src/fuchsiahatch_experts/switch_versions.py
+++ b/packages/experts/src/fuchsiahatch_experts/switch_versions.py
@@ -1,31 +1,31 @@
-"""Versions of maps: each names its term and its switch's last rank and standby."""
+"""Map versions: each encodes its term and the last rank and standby of its switch."""
 
 import typing as t
 
 from fuchsiahatch_experts.rank_orders import RankReport
 
-#: The largest group that a version can tell of.
-RANKS_PER_VERSION = 256
-#: Versions that one term may use, after which its leader makes way. With them a version
-#: stays below 2^53 for terms up to thirteen million.
+#: Size of the largest group whose ranks a version can encode.
+MAX_RANKS = 256
+#: Versions available to one term, after which its leader steps down. With this number
+#: a version stays below 2^53 for terms up to thirteen million.
 VERSIONS_PER_TERM = 10_000
-_VERSIONS_PER_TERM = VERSIONS_PER_TERM * RANKS_PER_VERSION**2
+_TERM_STRIDE = VERSIONS_PER_TERM * MAX_RANKS**2
 
 
 def make_version(term: int, number: int, standby: int, last: int) -> int:
-    """Return a version; those of a later term, or a later number, are higher."""
-    slot = (number * RANKS_PER_VERSION + standby) * RANKS_PER_VERSION + last
-    return term * _VERSIONS_PER_TERM + slot
+    """Return a version; versions of a later term or a later number are higher."""
+    offset = (number * MAX_RANKS + standby) * MAX_RANKS + last
+    return term * _TERM_STRIDE + offset
 
 
 def last_rank(version: int) -> int:
-    """Return the rank that is armed last, and only while all others are."""
-    return version % RANKS_PER_VERSION
+    """Return the rank that is armed last, after all other ranks are armed."""
+    return version % MAX_RANKS
 
 
 def standby_rank(version: int) -> int:
-    """Return the rank that holds passes for the leader, and takes over from it."""
-    return version // RANKS_PER_VERSION % RANKS_PER_VERSION
+    """Return the rank that holds passes and takes over if the leader fails."""
+    return version // MAX_RANKS % MAX_RANKS
 
 
 def newest_version(report: RankReport) -> int:
@@ -35,7 +35,7 @@
 
 
 def is_last_unarmed(reports: t.Collection[RankReport], version: int) -> bool:
-    """Return whether the last rank of a switch can't be armed, by all others' word."""
+    """Return whether the other ranks' reports rule out that the last one is armed."""
     standby = standby_rank(version)
     return any(
         report.armed is None
--- a/tests/experts/test_restored_leaders.py
+++ b/tests/experts/test_restored_leaders.py
@@ -4,13 +4,13 @@
 from fuchsiahatch_standins.rank_rules import MixedMaps
 from tests.experts.restored_model import RestoredModel, SettledModel
 
-#: Schedules of one test run, of 600 turns each; more by hand.
+#: Schedules of one test run, of 600 turns each; the environment can set more.
 SCHEDULES = int(os.environ.get("RESTORED_SCHEDULES", "150"))
 FIRST_SEED = int(os.environ.get("RESTORED_FIRST", "0"))
-#: Schedules after which a guard that is taken out must have been found.
-GUARDLESS_SCHEDULES = 3_000
-#: Schedules that mix maps where the later leader begins switches at once: one of 1,300.
-WITHOUT_WAIT = (879,)
+#: Schedules within which a missing guard must be detected.
+MAX_GUARDLESS_SCHEDULES = 3_000
+#: Schedules that mix maps if the later leader begins switches at once: one of 1,300.
+NO_WAIT_SEEDS = (879,)
 
 
 def play(seed, **guards):
@@ -19,9 +19,9 @@
     return model
 
 
-def find_mixed(**guards):
+def find_mixed_maps(**guards):
     """Return the first schedule that mixes maps, or None."""
-    for seed in range(GUARDLESS_SCHEDULES):
+    for seed in range(MAX_GUARDLESS_SCHEDULES):
         try:
             play(seed, **guards)
         except MixedMaps:
@@ -29,25 +29,25 @@
     return None
 
 
-#: Schedules that mix maps where the item of an older copy counts: one of 4,500.
-WITHOUT_ERA = (1_101,)
+#: Schedules that mix maps if the item of an older copy counts: one of 4,500.
+NO_ERA_CHECK_SEEDS = (1_101,)
 
 
 class TestRestoredLeaders(unittest.TestCase):
-    """A pass never runs with two maps while the store forgets who leads.
+    """A pass never runs with two maps when the store loses a leader's lease.
 
-    The store comes back from a copy without a leader's lease. That leader goes on by
-    its clock, another is elected at once, and both speak with the engines of agents
-    that stand still, which refuse nobody; or revisions come again, and both lead under
-    one term.
+    The store is restored from a copy without the lease. The leader continues by its
+    clock, another one is elected at once, and both send orders directly to the engines
+    of stalled agents, which refuse no leader. Or revisions are reused after the
+    restore, and both lead under one term.
     """
 
     def test_no_maps_are_mixed(self):
-        played = [play(FIRST_SEED + seed) for seed in range(SCHEDULES)]
-        self.assertGreater(sum(one.restored for one in played), SCHEDULES)
-        # Not idle ones: a schedule lasts 3 s, and behind each of some four returns no
-        # switch begins for 0.6 s.
-        self.assertGreater(sum(one.switched for one in played), SCHEDULES / 4)
+        models = [play(FIRST_SEED + seed) for seed in range(SCHEDULES)]
+        self.assertGreater(sum(model.restored for model in models), SCHEDULES)
+        # The bound is low because a schedule lasts 3 s, and no switch begins for 0.6 s
+        # after each of some four restores.
+        self.assertGreater(sum(model.switched for model in models), SCHEDULES / 4)
 
     def test_no_group_is_held_for_good(self):
         for seed in range(SCHEDULES // 4):
@@ -57,22 +57,22 @@
             model.settle(200)
             self.assertGreater(model.step, before, f"seed {seed}")
 
-    def test_a_term_that_comes_twice_is_found(self):
-        self.assertIsNotNone(find_mixed(eras=False))
+    def test_a_term_that_is_used_twice_is_found(self):
+        self.assertIsNotNone(find_mixed_maps(eras=False))
 
     def test_a_later_leader_that_does_not_wait_is_found(self):
-        for seed in WITHOUT_WAIT:
+        for seed in NO_WAIT_SEEDS:
             play(seed)
             with self.assertRaises(MixedMaps):
                 play(seed, waits=False)
 
 
 class TestLeadersThatHaveJustStarted(unittest.TestCase):
-    """A pass never runs with two maps where an item spares a leader its wait.
+    """A pass never runs with two maps when a stored item lets a leader skip its wait.
 
-    All processes are killed; the new leader finds the store's word that its era has
-    lasted for a lease. The word came back with an older copy, and an earlier leader
-    still believes in its lease.
+    All processes are killed, and the new leader reads an item which says that the era
+    has lasted for a lease. The item was restored from an older copy, and an earlier
+    leader still believes that it holds the lease.
     """
 
     def play(self, seed, **guards):
@@ -81,12 +81,12 @@
         return model
 
     def test_no_maps_are_mixed(self):
-        played = [self.play(FIRST_SEED + seed) for seed in range(SCHEDULES)]
-        self.assertGreater(sum(one.restored for one in played), SCHEDULES)
-        self.assertGreater(sum(one.spared for one in played), SCHEDULES / 2)
+        models = [self.play(FIRST_SEED + seed) for seed in range(SCHEDULES)]
+        self.assertGreater(sum(model.restored for model in models), SCHEDULES)
+        self.assertGreater(sum(model.skipped_waits for model in models), SCHEDULES / 2)
 
-    def test_an_older_copys_word_is_found(self):
-        for seed in WITHOUT_ERA:
+    def test_an_older_copys_item_is_found(self):
+        for seed in NO_ERA_CHECK_SEEDS:
             self.play(seed)
             with self.assertRaises(MixedMaps):
                 self.play(seed, checks_era=False)
