--- a/packages/gateway/src/fuchsiahatch_gateway/agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/agent.py
@@ -192,7 +192,7 @@
         while not self._process.stopping.is_set():
             await asyncio.sleep(0.02)
             self.leadership.settled_era.look()
-            seen = self.rank.seen
+            seen = self.rank.last_report
             if seen is None or not seen.group or seen.ranks < 2:
                 continue
             await self.takeovers.work()
@@ -307,7 +307,7 @@
         leadership = self.leadership
         return Authority(
             has_lease=lambda: leadership.held and leadership.term == term,
-            is_alone=lambda: leadership.alone and leadership.term == term,
+            is_alone=lambda: leadership.is_sole_leader and leadership.term == term,
             lacks_store=lambda: leadership.unanswered and leadership.term == term,
         )
 
@@ -372,7 +372,7 @@
         # Asked before each report too: an agent that learns of the leader before it
         # knows its own group would never tell that leader that it obeys its term, and
         # the leader would wait for ever.
-        group = "" if self.rank.seen is None else self.rank.seen.group
+        group = "" if self.rank.last_report is None else self.rank.last_report.group
         leader = self._find_leader(group)
         if leader is not None:
             self.rank.note_term(leader.term)
--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -22,13 +22,13 @@
     StandbyNotice,
     TakeoverNotice,
 )
-from fuchsiahatch_gateway.hearing import Hearing
 from fuchsiahatch_gateway.hold_timing import HoldTiming
 from fuchsiahatch_gateway.order_pacing import OrderPacer
 from fuchsiahatch_gateway.order_sender import OrderSender
 from fuchsiahatch_gateway.plan_searches import PlanSearches
 from fuchsiahatch_gateway.rank_agent import RankAgent
 from fuchsiahatch_gateway.silent_agents import SilentAgents
+from fuchsiahatch_gateway.stall_aware_clock import StallAwareClock
 from fuchsiahatch_gateway.tasks import Tasks
 
 if t.TYPE_CHECKING:
@@ -134,7 +134,7 @@
         self._authority = authority
         self._takes_over = takes_over
         self._pacer = OrderPacer(link_bytes_per_s, clock.now_ms())
-        self._hearing = Hearing(clock.now_ms())
+        self._hearing = StallAwareClock(clock.now_ms())
         self._standby: int | None = None
         self._noticed_ms = 0
         self._obeyed_ms: dict[int, int] = {}
--- a/packages/gateway/src/fuchsiahatch_gateway/leadership.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/leadership.py
@@ -162,7 +162,7 @@
         return self._clock.now_ms() < self._valid_until_ms
 
     @property
-    def alone(self) -> bool:
+    def is_sole_leader(self) -> bool:
         """Whether no earlier leader can still believe that it has its lease.
 
         Guards against two leaders that both speak with engines, which refuse nobody.
--- a/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
@@ -81,8 +81,8 @@
         "_stepped",
         "_upstream",
         "address",
+        "last_report",
         "pass_ms",
-        "seen",
         "term",
         "vouched",
     )
@@ -101,7 +101,7 @@
         self._agreed = 0
         self._copy_s = 0.0
         self._maps: dict[int, Placement] = {}
-        self.seen: EngineReport | None = None
+        self.last_report: EngineReport | None = None
         self.term = 0
         self.pass_ms = 0.0
         self._stepped: tuple[int, float] | None = None
@@ -155,9 +155,9 @@
         began_ms = _now_ms()
         seen = await self._upstream.report()
         self._answers.note(_now_ms() - began_ms)
-        if self.seen is not None and seen.born_ms != self.seen.born_ms:
+        if self.last_report is not None and seen.born_ms != self.last_report.born_ms:
             self._forget_life()
-        self.seen = seen
+        self.last_report = seen
         self._note_step(seen)
         return seen
 
--- a/packages/gateway/src/fuchsiahatch_gateway/reporting.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/reporting.py
@@ -122,7 +122,7 @@
 
     @property
     def _choices_pause_ms(self) -> float:
-        seen = self._rank.seen
+        seen = self._rank.last_report
         if seen is None:
             return 0.0
         bytes_per_ms = CHOICES_LINK_SHARE * self._link / 1000
@@ -144,7 +144,7 @@
 
     def send_load(self, entries: t.Collection[Peer]) -> None:
         """Tell the entries of the engine's load, if they are due to hear of it."""
-        seen, now_ms = self._rank.seen, self._clock.now_ms()
+        seen, now_ms = self._rank.last_report, self._clock.now_ms()
         if seen is None:
             return
         self._most_running = max(self._most_running, seen.running)
@@ -162,8 +162,10 @@
 
     def answer(self, entry: Peer) -> None:
         """Tell an entry that has asked of the engine's load."""
-        if self._rank.seen is not None:
-            self._datagrams.send_encoded(self._encode_load(self._rank.seen), entry)
+        if self._rank.last_report is not None:
+            self._datagrams.send_encoded(
+                self._encode_load(self._rank.last_report), entry
+            )
 
     def _encode_load(self, seen: "EngineReport") -> bytes:
         load = LoadReport(
--- a/packages/gateway/src/fuchsiahatch_gateway/silent_agents.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/silent_agents.py
@@ -109,7 +109,7 @@
         self._tasks = Tasks()
 
     def note_heard(self, rank: int, address: str, heard_ms: int) -> None:
-        """Note that a rank's agent was heard, by the clock of `Hearing`."""
+        """Note that a rank's agent was heard, by the clock of `StallAwareClock`."""
         self._addresses[rank] = address
         self._heard_ms[rank] = heard_ms
         self._speakers.pop(rank, None)
--- a/packages/gateway/src/fuchsiahatch_gateway/hearing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/stall_aware_clock.py
@@ -5,7 +5,7 @@
 MOST_STEP_MS = 60
 
 
-class Hearing:
+class StallAwareClock:
     """A clock that stands still while its own process does.
 
     Silences are measured by it. A process that is late, or whose host stood still, has
--- a/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
@@ -5,8 +5,8 @@
 from fuchsiahatch_core.events import Event, log_event
 from fuchsiahatch_core.exceptions import PlatformError
 from fuchsiahatch_gateway.datagrams import Peer, StandbyNotice, TakeoverNotice
-from fuchsiahatch_gateway.hearing import Hearing
 from fuchsiahatch_gateway.leadership import LeaderRecord, takeover_term
+from fuchsiahatch_gateway.stall_aware_clock import StallAwareClock
 from fuchsiahatch_gateway.standby import Standby
 
 if t.TYPE_CHECKING:
@@ -66,7 +66,7 @@
         self._make_leader = make_leader
         self._tell_state = tell_state
         self._standby = Standby()
-        self._hearing = Hearing(clock.now_ms())
+        self._hearing = StallAwareClock(clock.now_ms())
         self.leader: GroupLeader | None = None
         self.records: dict[str, LeaderRecord] = {}
 
@@ -78,7 +78,7 @@
 
     def obey(self, notice: TakeoverNotice, peer: Peer) -> None:
         """Obey a standby, and tell it of this rank at once: passes are held."""
-        seen = self._rank.seen
+        seen = self._rank.last_report
         if seen is None or seen.group != notice.group or notice.term < self._rank.term:
             return
         self.records[notice.group] = LeaderRecord(notice.group, notice.term, peer)
--- a/tests/gateway/led_groups.py
+++ b/tests/gateway/led_groups.py
@@ -73,7 +73,7 @@
         self.asked = []
         self.silent = set()
         self.answers = False
-        self.alone = True
+        self.is_sole_leader = True
         self.planned_ms = 0.0
         self._late_ms = 0.0
         self._sequence = 0
@@ -95,7 +95,7 @@
             self._list_engines,
             Authority(
                 has_lease=lambda: True,
-                is_alone=lambda: self.alone,
+                is_alone=lambda: self.is_sole_leader,
                 lacks_store=lambda: False,
             ),
             link_bytes_per_s=500_000.0,
--- a/tests/gateway/test_reporting.py
+++ b/tests/gateway/test_reporting.py
@@ -20,7 +20,9 @@
         self.clock = ManualClock()
         self.clock.advance(10_000)
         self.told = []
-        rank = types.SimpleNamespace(address="10.0.0.1:80", pass_ms=0.0, seen=None)
+        rank = types.SimpleNamespace(
+            address="10.0.0.1:80", pass_ms=0.0, last_report=None
+        )
         port = types.SimpleNamespace(
             send_encoded=lambda data, peer: self.told.append(decode(data).running)
         )
@@ -31,7 +33,7 @@
         """Report a load 50 ms after the last one; return what all entries heard."""
         self.clock.advance(50)
         self.told.clear()
-        self.rank.seen = types.SimpleNamespace(
+        self.rank.last_report = types.SimpleNamespace(
             queued=0, running=running, pace=1.0, open=is_open, group="", born_ms=0
         )
         self.reporter.send_load(ENTRIES)
@@ -66,7 +68,7 @@
         # what had been chosen, and its first change of map was made for a mixture of
         # what was and what is.
         self.rank.choices_bytes = 1_100
-        self.rank.seen = types.SimpleNamespace(ranks=32)
+        self.rank.last_report = types.SimpleNamespace(ranks=32)
         told = 0
         for _ in range(40):
             self.clock.advance(50)
@@ -78,7 +80,7 @@
         # demand: a rank tells its leader each 1.8 s what has been chosen since it last
         # did, most of it before the shift.
         self.rank.choices_bytes = 2_600
-        self.rank.seen = types.SimpleNamespace(ranks=96)
+        self.rank.last_report = types.SimpleNamespace(ranks=96)
         turns = []
         for _ in range(60):
             self.clock.advance(100)
--- a/tests/gateway/test_restored_leaders.py
+++ b/tests/gateway/test_restored_leaders.py
@@ -63,9 +63,9 @@
 
     def test_a_leader_whose_lease_the_store_forgot_leads_no_more(self):
         async def work(served, leadership, clock, copy):
-            before = leadership.alone
+            before = leadership.is_sole_leader
             await served.restore(copy)
-            return before, leadership.held, leadership.alone
+            return before, leadership.held, leadership.is_sole_leader
 
         self.assertEqual(self.elect(work), (True, False, False))
 
@@ -88,11 +88,11 @@
             await served.restore(copy)
             clock.advance(400)
             won = await leadership.try_win("g", 0, None)
-            early = leadership.alone
+            early = leadership.is_sole_leader
             clock.advance(LEADER_TTL_MS - 401)
-            still = leadership.alone
+            still = leadership.is_sole_leader
             clock.advance(1)
-            return won, leadership.term > term, early, still, leadership.alone
+            return won, leadership.term > term, early, still, leadership.is_sole_leader
 
         # The lease itself is shorter than that: it is renewed in between.
         won, later, early, still, _ = self.elect(work)
@@ -125,7 +125,7 @@
     def lead(self, alone):
         async def play():
             group = LedGroup(8, 6, 64, 11)
-            group.alone, group.silent = alone, {3}
+            group.is_sole_leader, group.silent = alone, {3}
             group.leader._silent.note_heard(3, "10.0.0.3:80", 0)
             with mock.patch.object(planning, "plan_change", group.plan):
                 await group.run(1_500)
--- a/tests/gateway/test_settled_era.py
+++ b/tests/gateway/test_settled_era.py
@@ -85,10 +85,10 @@
                 won = await leadership.try_win("g", 0, None)
                 lacking = leadership.settled_era.lacking
                 clock.advance(1)
-                alone = leadership.alone
+                alone = leadership.is_sole_leader
                 served.store.era = 1
                 await served.client.ping()
-                return won, lacking, alone, leadership.alone
+                return won, lacking, alone, leadership.is_sole_leader
 
         self.assertEqual(run(play()), (True, False, True, False))
 
@@ -127,9 +127,9 @@
                 clock.advance(LEADER_TTL_MS - 1)
                 served.store.era = 7
                 won = await leadership.try_win("g", 0, None)
-                first = leadership.alone
+                first = leadership.is_sole_leader
                 clock.advance(1)
-                return won, first, leadership.alone
+                return won, first, leadership.is_sole_leader
 
         self.assertEqual(run(play()), (True, False, False))
 
--- a/tests/gateway/test_spread.py
+++ b/tests/gateway/test_spread.py
@@ -124,13 +124,13 @@
         self.sent = 0
         port = types.SimpleNamespace(send_encoded=self.deliver)
         self.ranks = [
-            types.SimpleNamespace(address=address, pass_ms=0.0, seen=None)
+            types.SimpleNamespace(address=address, pass_ms=0.0, last_report=None)
             for address in self.addresses
         ]
         self.reporters = [Reporter(one, port, self.clock, 5e5) for one in self.ranks]
 
     def report(self, at):
-        self.ranks[at].seen = types.SimpleNamespace(
+        self.ranks[at].last_report = types.SimpleNamespace(
             queued=len(self.queues[at]),
             running=self.running[at],
             pace=1.0,
