--- a/packages/gateway/src/fuchsiahatch_gateway/agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/agent.py
@@ -47,9 +47,9 @@
     decode_leader,
     term_of,
 )
-from fuchsiahatch_gateway.order_relays import request_of
+from fuchsiahatch_gateway.order_relays import make_request
 from fuchsiahatch_gateway.rank_agent import RankAgent
-from fuchsiahatch_gateway.reporting import ChoicesTurn, Reporter
+from fuchsiahatch_gateway.reporting import ChoicesAction, Reporter
 from fuchsiahatch_gateway.store_health import StoreHealth
 from fuchsiahatch_gateway.takeovers import Takeovers
 from fuchsiahatch_http1.client import ConnectionPool
@@ -60,7 +60,7 @@
 
 #: How often an agent asks the store for little. An entry renews a lease each second,
 #: an agent would not notice that the store is back before its watch ends.
-STORE_POLL_MS = 2_000
+STORE_POLL_INTERVAL_MS = 2_000
 
 
 class Agent:
@@ -86,7 +86,7 @@
         self._entries = EntryPeers(self.store, clock)
         self.upstream = ModelEngine(settings.beside, self._engines_pool)
         self.health = StoreHealth()
-        self.datagrams = DatagramPort(self._take_message)
+        self.datagrams = DatagramPort(self._receive_message)
         self.peer: Peer = (
             settings.ip,
             settings.internal_ports[0] + AGENT_PORT_OFFSET,
@@ -95,14 +95,14 @@
         self.leadership = Leadership(self.store, settings.node, self.peer, clock)
         self.leader: GroupLeader | None = None
         self.takeovers = Takeovers(
-            self.rank, self.peer, clock, self._make_takeover, self._tell_state
+            self.rank, self.peer, clock, self._make_takeover, self._report_state
         )
         self._reporter = Reporter(
             self.rank, self.datagrams, clock, settings.link_bytes_per_s
         )
-        self._leader_copy = self._copy(LEADERS_PREFIX, self._apply_leaders)
-        self._figure_copy = self._copy(ENGINES_PREFIX, self._apply_figures)
-        self._era_copy = self._copy(SETTLED_ERA_KEY, self._apply_era)
+        self._leader_copy = self._make_copy(LEADERS_PREFIX, self._apply_leaders)
+        self._figure_copy = self._make_copy(ENGINES_PREFIX, self._apply_figures)
+        self._era_copy = self._make_copy(SETTLED_ERA_KEY, self._apply_era)
         self._follower = Follower(
             self.store,
             KEY_PREFIX,
@@ -110,7 +110,7 @@
             clock,
             (self._leader_copy, self._figure_copy, self._era_copy),
         )
-        self._failing = False
+        self._engine_failing = False
         self.store.on_restored = self._note_restored
 
     async def run(self) -> None:
@@ -123,25 +123,25 @@
         self._add_gauges()
         process.keep_running(process.log_store_calls(self.store.calls))
         await process.serve_metrics()
-        process.keep_running(self._report_for_ever())
-        process.keep_running(self._ask_store_for_ever())
-        process.keep_running(self._lead_for_ever())
+        process.keep_running(self._report_forever())
+        process.keep_running(self._poll_store_forever())
+        process.keep_running(self._lead_forever())
         await process.stopping.wait()
         log_event(Event.STOPPING, leading=self.leader is not None, node=settings.node)
         await self._stop_leading()
         log_event(Event.STOPPED)
 
-    async def _report_for_ever(self) -> None:
+    async def _report_forever(self) -> None:
         while True:
             began_ms = self._clock.now_ms()
             await self._report()
             took_ms = self._clock.now_ms() - began_ms
             await asyncio.sleep(max(REPORT_MS - took_ms, 5) / 1000)
 
-    async def _ask_store_for_ever(self) -> None:
+    async def _poll_store_forever(self) -> None:
         """Ask the store for little from time to time, so that its return is noticed."""
         while True:
-            poll_ms = STORE_POLL_MS if self.health.answers else STORE_RETRY_MS
+            poll_ms = STORE_POLL_INTERVAL_MS if self.health.answers else STORE_RETRY_MS
             await asyncio.sleep(poll_ms / 1000)
             try:
                 await self.store.ping()
@@ -152,18 +152,18 @@
     async def _report(self) -> None:
         self._note_leader()
         try:
-            turn = self._reporter.choices_turn()
-            if turn is ChoicesTurn.BEGIN:
-                await self.rank.begin_choices()
-            state = await self.rank.read_state(turn is ChoicesTurn.TELL)
+            turn = self._reporter.choices_action()
+            if turn is ChoicesAction.BEGIN:
+                await self.rank.reset_choices()
+            state = await self.rank.read_state(turn is ChoicesAction.TELL)
         except PlatformError as fault:
-            if not self._failing:
+            if not self._engine_failing:
                 log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
-            self._failing = True
+            self._engine_failing = True
             return
-        if self._failing:
+        if self._engine_failing:
             log_event(Event.UPSTREAM_ANSWERS, epoch=state.report.epoch)
-        self._failing = False
+        self._engine_failing = False
         self._reporter.send_load(self._entries.peers)
         self._send_state(state)
 
@@ -172,8 +172,8 @@
         if leader is None:
             return
         if leader.peer == self.peer:
-            for own in self._led():
-                own.take_state(state, self.peer)
+            for own in self._active_leaders():
+                own.receive_state(state, self.peer)
             return
         self.datagrams.send(self._reporter.trim(state, leader.term), leader.peer)
 
@@ -183,25 +183,25 @@
         heard = (leader for leader in known if leader is not None)
         return max(heard, key=lambda leader: leader.term, default=None)
 
-    def _led(self) -> list[GroupLeader]:
+    def _active_leaders(self) -> list[GroupLeader]:
         """Return what this agent leads, be it elected or as a standby."""
         led = (self.leader, self.takeovers.leader)
         return [one for one in led if one is not None]
 
-    async def _lead_for_ever(self) -> None:
+    async def _lead_forever(self) -> None:
         while not self._process.stopping.is_set():
             await asyncio.sleep(0.02)
             self.leadership.settled_era.look()
-            seen = self.rank.last_report
-            if seen is None or not seen.group or seen.ranks < 2:
+            report = self.rank.last_report
+            if report is None or not report.group or report.ranks < 2:
                 continue
             await self.takeovers.work()
-            known = self._leaders.get(seen.group)
+            known = self._leaders.get(report.group)
             if self.leader is None:
                 if self._follower.synced:
-                    await self._try_to_lead(seen, known)
+                    await self._try_to_lead(report, known)
             elif self._is_replaced():
-                self._lose()
+                self._lose_term()
             elif self.leader.switch.exhausted:
                 await self._stop_leading()
             else:
@@ -210,18 +210,18 @@
                     self._process.keep_running(self.leadership.settled_era.write())
 
     def _make_takeover(
-        self, notice: StandbyNotice, seen: "EngineReport", term: int
+        self, notice: StandbyNotice, report: "EngineReport", term: int
     ) -> GroupLeader:
         """Return who ends the switch of the leader whose standby this agent is."""
         return self._make_leader(
             notice.group,
             term,
-            seen.rank,
-            seen.ranks,
+            report.rank,
+            report.ranks,
             Authority(
-                has_lease=lambda: self.rank.term == term,
-                is_alone=lambda: self.rank.term == term,
-                lacks_store=lambda: False,
+                holds_lease=lambda: self.rank.term == term,
+                is_sole_leader=lambda: self.rank.term == term,
+                store_unreachable=lambda: False,
             ),
             takes_over=True,
         )
@@ -251,7 +251,7 @@
             takes_over,
         )
 
-    def _tell_state(self) -> None:
+    def _report_state(self) -> None:
         self._process.keep_running(self._send_state_now())
 
     async def _send_state_now(self) -> None:
@@ -271,15 +271,15 @@
         assert self.leader is not None
         if self.rank.term > leadership.term or self.leader.switch.replaced:
             return True
-        return not leadership.held and not leadership.unanswered
+        return not leadership.holds_lease and not leadership.renewal_unanswered
 
     async def _try_to_lead(
-        self, seen: "EngineReport", known: LeaderRecord | None
+        self, report: "EngineReport", known: LeaderRecord | None
     ) -> None:
-        if await self.leadership.try_win(seen.group, seen.rank, known):
-            self._start_leading(seen.group, seen.rank, seen.ranks)
+        if await self.leadership.try_win(report.group, report.rank, known):
+            self._start_leading(report.group, report.rank, report.ranks)
             return
-        found, self.leadership.found = self.leadership.found, None
+        found, self.leadership.found_leader = self.leadership.found_leader, None
         if found is not None:
             self._leaders[found.group] = found
             self._note_leader()
@@ -292,37 +292,41 @@
         import fuchsiahatch_experts.drift  # noqa: F401
 
         self.rank.note_term(term)
-        self._process.keep_running(self.leadership.renew_for_ever())
+        self._process.keep_running(self.leadership.renew_forever())
         self.leader = self._make_leader(
             group,
             term,
             rank,
             ranks,
-            self._authority_of(term),
+            self._make_authority(term),
         )
-        self._tell_figures()
+        self._update_leader_figures()
         self._leaders[group] = LeaderRecord(group, term, self.peer)
 
-    def _authority_of(self, term: int) -> Authority:
+    def _make_authority(self, term: int) -> Authority:
         leadership = self.leadership
         return Authority(
-            has_lease=lambda: leadership.held and leadership.term == term,
-            is_alone=lambda: leadership.is_sole_leader and leadership.term == term,
-            lacks_store=lambda: leadership.unanswered and leadership.term == term,
+            holds_lease=lambda: leadership.holds_lease and leadership.term == term,
+            is_sole_leader=lambda: (
+                leadership.is_sole_leader and leadership.term == term
+            ),
+            store_unreachable=lambda: (
+                leadership.renewal_unanswered and leadership.term == term
+            ),
         )
 
-    def _tell_figures(self) -> None:
+    def _update_leader_figures(self) -> None:
         """Tell the leader of its engines' figures, where they are known."""
         figures = self._figures.get(self._process.settings.beside_service)
         if figures is not None and self.leader is not None:
-            self.leader.plans.learn(figures.engine, figures.gap_ms)
+            self.leader.plans.set_engine(figures.engine, figures.gap_ms)
 
     def _note_restored(self) -> None:
         """Give up what stood in the store: it came back from an older copy."""
         self.health.note_restored(self._clock.now_ms())
         self.leadership.note_restored()
 
-    def _lose(self) -> None:
+    def _lose_term(self) -> None:
         log_event(Event.TERM_LOST, term=self.leadership.term)
         assert self.leader is not None
         self.leader.stop()
@@ -334,9 +338,9 @@
             await self.leader.finish()
             self.leader.stop()
             self.leader = None
-            await self.leadership.give_up()
+            await self.leadership.release()
 
-    def _copy(self, prefix: str, apply: t.Callable[[], None]) -> ItemCopy:
+    def _make_copy(self, prefix: str, apply: t.Callable[[], None]) -> ItemCopy:
         return ItemCopy(prefix, self.health, self._clock, apply)
 
     def _apply_leaders(self) -> None:
@@ -349,7 +353,7 @@
 
     def _apply_figures(self) -> None:
         self._figures = self._figure_items.decode_all(self._figure_copy.items)
-        self._tell_figures()
+        self._update_leader_figures()
 
     def _apply_era(self) -> None:
         self.leadership.settled_era.take(self._era_copy.items.get(""))
@@ -377,39 +381,39 @@
         if leader is not None:
             self.rank.note_term(leader.term)
 
-    def _take_message(self, message: Message, peer: Peer) -> None:
+    def _receive_message(self, message: Message, peer: Peer) -> None:
         if isinstance(message, RankState):
-            for own in self._led():
-                own.take_state(message, peer)
+            for own in self._active_leaders():
+                own.receive_state(message, peer)
         elif isinstance(message, EntryBeat):
             self._entries.take(message, peer)
-            self._reporter.answer(peer)
+            self._reporter.send_load_to(peer)
         elif isinstance(message, StandbyNotice):
             self.takeovers.note(message)
         elif isinstance(message, TakeoverNotice) and self._follower.synced:
-            self.takeovers.obey(message, peer)
+            self.takeovers.accept(message, peer)
         elif isinstance(message, OrderRequest) and self._follower.synced:
             # An agent that has just started knows no term: before it has read who
             # leads, an order of a leader that was replaced would look like any other.
-            self._process.keep_running(self._carry_out(message, peer))
+            self._process.keep_running(self._execute_order(message, peer))
         elif isinstance(message, OrderRelay) and self._follower.synced:
             self._pass_on(message, peer)
         elif isinstance(message, OrderReply):
-            for own in self._led():
-                own.take_reply(message)
+            for own in self._active_leaders():
+                own.receive_reply(message)
 
     def _pass_on(self, relay: OrderRelay, leader: Peer) -> None:
         """Send orders to others for a leader, unless it was replaced."""
         if relay.term < self.rank.term:
             return
         for target in relay.targets:
-            request = request_of(relay, target, leader)
+            request = make_request(relay, target, leader)
             if target.peer == self.peer:
-                self._process.keep_running(self._carry_out(request, leader))
+                self._process.keep_running(self._execute_order(request, leader))
             else:
                 self.datagrams.send(request, target.peer)
 
-    async def _carry_out(self, request: OrderRequest, sender: Peer) -> None:
+    async def _execute_order(self, request: OrderRequest, sender: Peer) -> None:
         peer = request.leader or sender
         if not self.rank.knows_base(request):
             lacking = OrderReply(
@@ -422,7 +426,7 @@
             self.datagrams.send(lacking, peer)
             return
         try:
-            result = await self.rank.carry_out(request)
+            result = await self.rank.execute(request)
         except ValueError as fault:
             log_event(Event.DATAGRAM_DROPPED, peer=str(peer), detail=str(fault))
             return
@@ -431,7 +435,7 @@
         reply = OrderReply(request.group, request.term, request.number, result)
         self.datagrams.send(reply, peer)
         try:
-            async for state in self.rank.follow_effect(request.order):
+            async for state in self.rank.poll_effect(request.order):
                 self.datagrams.send(self._reporter.trim(state, request.term), peer)
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
--- a/packages/gateway/src/fuchsiahatch_gateway/answer_times.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/answer_times.py
@@ -1,9 +1,9 @@
 """How long an upstream takes to answer, and how long its answer is waited for."""
 
 #: Shortest wait: a process that has other work reads an answer that late.
-LEAST_WAIT_MS = 15
+MIN_TIMEOUT_MS = 15
 #: Longest wait, and that before the first answer is known.
-MOST_WAIT_MS = 50
+MAX_TIMEOUT_MS = 50
 #: Weights of the newest answer in the running mean and in its deviation, as TCP's
 #: retransmission timeout has them (RFC 6298).
 MEAN_WEIGHT = 1 / 8
@@ -30,11 +30,11 @@
         if self._mean_ms is None:
             self._mean_ms, self._deviation_ms = took_ms, took_ms / 2
             return
-        off_ms = abs(took_ms - self._mean_ms)
-        self._deviation_ms += DEVIATION_WEIGHT * (off_ms - self._deviation_ms)
+        error_ms = abs(took_ms - self._mean_ms)
+        self._deviation_ms += DEVIATION_WEIGHT * (error_ms - self._deviation_ms)
         self._mean_ms += MEAN_WEIGHT * (took_ms - self._mean_ms)
 
-    def wait_ms(self, unanswered: int = 0) -> int:
+    def timeout_ms(self, failed_attempts: int = 0) -> int:
         """Return how long to wait for an answer.
 
         Parameters
@@ -44,7 +44,7 @@
             process, may have become slower than it was.
         """
         if self._mean_ms is None:
-            return MOST_WAIT_MS
+            return MAX_TIMEOUT_MS
         expected_ms = self._mean_ms + DEVIATIONS * self._deviation_ms
-        first_ms = max(expected_ms, float(LEAST_WAIT_MS))
-        return int(min(first_ms * 2**unanswered, MOST_WAIT_MS))
+        first_ms = max(expected_ms, float(MIN_TIMEOUT_MS))
+        return int(min(first_ms * 2**failed_attempts, MAX_TIMEOUT_MS))
--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -39,13 +39,13 @@
 
 #: Age up to which an agent's word that it obeys this term counts. States come each
 #: 100 ms, and one of them may be lost.
-OBEYED_MS = 300
+MAX_TERM_ACK_AGE_MS = 300
 #: How often a leader that stops looks whether its switch has come to its end.
-FINISH_POLL_MS = 10
+FINISH_POLL_INTERVAL_MS = 10
 #: Time that a leader which stops gives its switch.
-FINISH_LIMIT_MS = 2_000
+FINISH_TIMEOUT_MS = 2_000
 #: Pause between two notices to the standby, or to agents that don't obey it yet.
-NOTICE_MS = 20
+NOTICE_INTERVAL_MS = 20
 #: Experts of a rank, by layer.
 HeldExperts = tuple[tuple[int, ...], ...]
 #: Phases in which a switch is under way.
@@ -72,9 +72,9 @@
         Whether the store doesn't answer, so that the lease can't be renewed.
     """
 
-    has_lease: t.Callable[[], bool]
-    is_alone: t.Callable[[], bool]
-    lacks_store: t.Callable[[], bool]
+    holds_lease: t.Callable[[], bool]
+    is_sole_leader: t.Callable[[], bool]
+    store_unreachable: t.Callable[[], bool]
 
 
 class GroupLeader:
@@ -113,11 +113,11 @@
         term: int,
         rank: int,
         ranks: int,
-        own: RankAgent,
-        own_peer: Peer,
+        local_agent: RankAgent,
+        local_peer: Peer,
         datagrams: DatagramPort,
         clock: "Clock",
-        engine_of: t.Callable[[str], "ModelEngine"],
+        connect_engine: t.Callable[[str], "ModelEngine"],
         list_engines: t.Callable[[], t.Awaitable[t.Sequence[str]]],
         authority: Authority,
         link_bytes_per_s: float,
@@ -127,49 +127,49 @@
         self._term = term
         self._rank = rank
         self._ranks = ranks
-        self._own = own
-        self._own_peer = own_peer
+        self._local_agent = local_agent
+        self._local_peer = local_peer
         self._datagrams = datagrams
         self._clock = clock
         self._authority = authority
         self._takes_over = takes_over
         self._pacer = OrderPacer(link_bytes_per_s, clock.now_ms())
-        self._hearing = StallAwareClock(clock.now_ms())
+        self._active_clock = StallAwareClock(clock.now_ms())
         self._standby: int | None = None
-        self._noticed_ms = 0
-        self._obeyed_ms: dict[int, int] = {}
+        self._notified_ms = 0
+        self._term_acked_ms: dict[int, int] = {}
         self._peers: dict[int, Peer] = {}
         self._sequences: dict[str, int] = {}
         #: Experts that each rank holds, and the epoch and map that they are of.
-        self._held: dict[int, tuple[int, int, HeldExperts]] = {}
+        self._held_experts: dict[int, tuple[int, int, HeldExperts]] = {}
         self._tasks = Tasks()
         self._stopping = False
         self._stopped = False
         self._work_due = False
         self._phase = Phase.SETTLING
-        self._phase_ms = clock.now_ms()
-        self._timing = HoldTiming()
+        self._phase_since_ms = clock.now_ms()
+        self._hold_timing = HoldTiming()
         self._copied_ms = clock.now_ms()
         self.switch = Switch(term, rank, ranks, may_start=not takes_over)
-        self.switch.known_map = lambda version: own.known_map(version, ranks)
+        self.switch.known_map = lambda version: local_agent.known_map(version, ranks)
         self._sender = OrderSender(
-            group, term, ranks, own, datagrams, self.switch, self._pacer
+            group, term, ranks, local_agent, datagrams, self.switch, self._pacer
         )
-        self.plans = PlanSearches(group, ranks, self.switch, clock, self._start)
-        self._engine_of = engine_of
-        self._holder: RankAgent | None = None
+        self.plans = PlanSearches(group, ranks, self.switch, clock, self._start_switch)
+        self._connect_engine = connect_engine
+        self._hold_agent: RankAgent | None = None
         self._silent = SilentAgents(
             group,
             term,
             rank,
             ranks,
-            engine_of,
+            connect_engine,
             list_engines,
-            self._take_report,
+            self._receive_report,
             link_bytes_per_s,
         )
 
-    def take_state(self, state: RankState, peer: Peer) -> None:
+    def receive_state(self, state: RankState, peer: Peer) -> None:
         """Take in a rank's state."""
         if state.group != self._group:
             return
@@ -181,34 +181,34 @@
         rank = state.report.rank
         now_ms = self._clock.now_ms()
         self._peers[rank] = peer
-        self._silent.note_heard(rank, state.upstream, self._hearing.heard_ms)
-        self._note_obedience(rank, state.report.term, now_ms)
-        self.switch.experts = self._own.experts_per_layer
-        self.switch.observe(self._complete(state.report), now_ms)
+        self._silent.note_heard(rank, state.upstream, self._active_clock.active_ms)
+        self._note_term_ack(rank, state.report.term, now_ms)
+        self.switch.experts = self._local_agent.experts_per_layer
+        self.switch.observe(self._add_known_experts(state.report), now_ms)
         self.plans.count(state, now_ms)
-        self._work_soon()
+        self._schedule_work()
 
-    def _complete(self, report: RankReport) -> RankReport:
+    def _add_known_experts(self, report: RankReport) -> RankReport:
         """Put in the experts that a rank holds, if it has told of them before."""
         map_of = (report.epoch, report.map_version)
         if report.experts is not None:
-            self._held[report.rank] = (*map_of, report.experts)
+            self._held_experts[report.rank] = (*map_of, report.experts)
             return report
-        known = self._held.get(report.rank)
+        known = self._held_experts.get(report.rank)
         if known is None or known[:2] != map_of:
             return report
         return msgspec.structs.replace(report, experts=known[2])
 
-    def introduce(self, peers: t.Mapping[int, Peer]) -> None:
+    def add_peers(self, peers: t.Mapping[int, Peer]) -> None:
         """Learn where the agents of other ranks take datagrams."""
         self._peers.update(peers)
 
-    def take_reply(self, reply: OrderReply) -> None:
+    def receive_reply(self, reply: OrderReply) -> None:
         """Take in an agent's answer to an order."""
-        if self._sender.take_reply(reply, self._clock.now_ms()):
-            self._work_soon()
+        if self._sender.receive_reply(reply, self._clock.now_ms()):
+            self._schedule_work()
 
-    def _work_soon(self) -> None:
+    def _schedule_work(self) -> None:
         """Work once all datagrams that wait are read.
 
         Done behind each of them, a leader that came late to its datagrams judged 57
@@ -233,17 +233,17 @@
             # A datagram came in the turn of the loop in which the term was lost.
             return
         now_ms = self._clock.now_ms()
-        self._hearing.look(now_ms)
+        self._active_clock.update(now_ms)
         if not self.may_lead():
             return
-        self._sender.give_up_replies(now_ms)
+        self._sender.expire_replies(now_ms)
         if not self._stopping:
-            most_copies = self._pacer.copies_in_a_change(self._ranks)
-            self.plans.work(self._own.pass_ms, most_copies, now_ms)
-        if self._authority.is_alone():
-            self._silent.work(self.switch.phase, self._hearing.heard_ms, now_ms)
+            max_copies = self._pacer.max_copies_per_rank(self._ranks)
+            self.plans.work(self._local_agent.pass_ms, max_copies, now_ms)
+        if self._authority.is_sole_leader():
+            self._silent.work(self.switch.phase, self._active_clock.active_ms, now_ms)
         self._notify(now_ms)
-        for order in self.switch.orders(now_ms, self._sender.room(now_ms)):
+        for order in self.switch.orders(now_ms, self._sender.order_budget(now_ms)):
             self._send(order, now_ms)
         self._sender.flush(now_ms)
         self._note_phase(now_ms)
@@ -260,12 +260,15 @@
         An outage of 8 s left groups on old maps, and 7 of 10 requests of its last
         four seconds were late.
         """
-        if self._authority.has_lease():
+        if self._authority.holds_lease():
             return True
-        if not self._authority.lacks_store() or len(self._obeyed_ms) < self._ranks:
+        if (
+            not self._authority.store_unreachable()
+            or len(self._term_acked_ms) < self._ranks
+        ):
             return False
-        oldest_ms = min(self._obeyed_ms.values())
-        return self._clock.now_ms() - oldest_ms <= OBEYED_MS
+        oldest_ms = min(self._term_acked_ms.values())
+        return self._clock.now_ms() - oldest_ms <= MAX_TERM_ACK_AGE_MS
 
     def _may_switch(self) -> bool:
         """Return whether a change of the map may be begun now.
@@ -273,7 +276,7 @@
         An earlier leader that doesn't know yet that its lease is gone might let a pass
         go that this one holds.
         """
-        if self._authority.has_lease() and not self._authority.is_alone():
+        if self._authority.holds_lease() and not self._authority.is_sole_leader():
             return False
         return self.may_lead()
 
@@ -293,22 +296,22 @@
     async def finish(self) -> None:
         """Bring a switch to its end before another agent leads."""
         self._stopping = True
-        until_ms = self._clock.now_ms() + FINISH_LIMIT_MS
+        deadline_ms = self._clock.now_ms() + FINISH_TIMEOUT_MS
         while self.switch.phase not in (Phase.IDLE, Phase.SETTLING):
-            if self._clock.now_ms() > until_ms:
+            if self._clock.now_ms() > deadline_ms:
                 break
             self.work()
-            await asyncio.sleep(FINISH_POLL_MS / 1000)
+            await asyncio.sleep(FINISH_POLL_INTERVAL_MS / 1000)
 
     def _notify(self, now_ms: int) -> None:
         """Tell the standby of a switch, or all agents that the standby takes over."""
-        if now_ms - self._noticed_ms < NOTICE_MS:
+        if now_ms - self._notified_ms < NOTICE_INTERVAL_MS:
             return
-        self._noticed_ms = now_ms
+        self._notified_ms = now_ms
         if self._takes_over:
             takeover = TakeoverNotice(self._group, self._term)
             for rank, peer in self._peers.items():
-                if rank != self._rank and rank not in self._obeyed_ms:
+                if rank != self._rank and rank not in self._term_acked_ms:
                     self._datagrams.send(takeover, peer)
         elif self.switch.phase in _SWITCHING:
             self._notify_standby(asks_state=False)
@@ -319,57 +322,57 @@
             notice = StandbyNotice(self._group, self._term, self._peers, asks_state)
             self._datagrams.send(notice, peer)
 
-    def _note_obedience(self, rank: int, term: int, now_ms: int) -> None:
+    def _note_term_ack(self, rank: int, term: int, now_ms: int) -> None:
         if term == self._term:
-            self._obeyed_ms[rank] = now_ms
+            self._term_acked_ms[rank] = now_ms
         else:
-            self._obeyed_ms.pop(rank, None)
+            self._term_acked_ms.pop(rank, None)
 
-    def _start(self, plan: "Plan", passes: "Passes") -> bool:
+    def _start_switch(self, plan: "Plan", passes: "Passes") -> bool:
         """Begin to switch to a planned map; return whether that was done."""
         # A standby whose agent is silent could agree to no commit.
         standby = self._silent.heard_behind(self._rank)
         if standby is None or self._stopping or not self._may_switch():
             return False
-        ahead = self._timing.passes_ahead(passes.pass_ms)
+        ahead = self._hold_timing.passes_ahead(passes.pass_ms)
         now_ms = self._clock.now_ms()
         if not self.switch.start(plan.placement, now_ms, ahead, standby):
             return False
         self._standby = standby
-        self._work_soon()
+        self._schedule_work()
         return True
 
     def _send(self, order: Order, now_ms: int) -> None:
         if order.rank == self._rank:
-            self._tasks.begin(self._give_own(order))
+            self._tasks.begin(self._apply_locally(order))
             return
         if order.kind is OrderKind.HOLD:
-            self._tasks.begin(self._give_hold(order))
+            self._tasks.begin(self._apply_hold(order))
             return
         speaker = self._silent.speaker(order.rank)
         if speaker is not None:
             # Nobody but the standby's own agent can agree to a commit.
-            if not self._authority.is_alone() or order.kind is OrderKind.COMMIT:
+            if not self._authority.is_sole_leader() or order.kind is OrderKind.COMMIT:
                 return
-            self._tasks.begin(self._give_directly(speaker, order))
+            self._tasks.begin(self._apply_directly(speaker, order))
             return
         peer = self._peers.get(order.rank)
         if peer is None:
             return
         self._sender.send(order, peer, now_ms)
 
-    async def _give_own(self, order: Order) -> None:
+    async def _apply_locally(self, order: Order) -> None:
         if not self.may_lead():
             return
-        result = await self._own.give_order(order)
+        result = await self._local_agent.apply_order(order)
         self.switch.answered(order, result, self._clock.now_ms())
         try:
-            async for state in self._own.follow_effect(order):
-                self.take_state(state, self._own_peer)
+            async for state in self._local_agent.poll_effect(order):
+                self.receive_state(state, self._local_peer)
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
 
-    async def _give_hold(self, order: Order) -> None:
+    async def _apply_hold(self, order: Order) -> None:
         """Give a hold to the standby's engine, and ask the standby for its effect.
 
         Not through the standby's agent: its host would stand still with the hold if it
@@ -378,20 +381,20 @@
         address = self._silent.address(order.rank)
         if address is None or not self.may_lead():
             return
-        if self._holder is None or self._holder.address != address:
-            self._holder = RankAgent(self._engine_of(address), address)
-        result = await self._holder.give_order(order)
+        if self._hold_agent is None or self._hold_agent.address != address:
+            self._hold_agent = RankAgent(self._connect_engine(address), address)
+        result = await self._hold_agent.apply_order(order)
         # An engine tells other hosts what it was some 200 ms ago, its own agent what
         # it is: with the former, passes were held for 68 ms more in each switch.
         self._notify_standby(asks_state=True)
         self.switch.answered(order, result, self._clock.now_ms())
 
-    def _take_report(self, report: RankReport) -> None:
-        self.switch.observe(self._complete(report), self._clock.now_ms())
+    def _receive_report(self, report: RankReport) -> None:
+        self.switch.observe(self._add_known_experts(report), self._clock.now_ms())
         self.work()
 
-    async def _give_directly(self, speaker: RankAgent, order: Order) -> None:
-        result = await speaker.give_order(order)
+    async def _apply_directly(self, speaker: RankAgent, order: Order) -> None:
+        result = await speaker.apply_order(order)
         self.switch.answered(order, result, self._clock.now_ms())
 
     def _note_phase(self, now_ms: int) -> None:
@@ -404,13 +407,13 @@
             term=self._term,
             before=self._phase.value,
             after=phase.value,
-            took_ms=now_ms - self._phase_ms,
+            took_ms=now_ms - self._phase_since_ms,
             switched=self.switch.switched,
             abandoned=self.switch.abandoned,
         )
         if self._phase is Phase.COPYING:
             self._copied_ms = now_ms
         elif phase is Phase.RELEASING and self._phase is not Phase.SETTLING:
-            self._timing.note(now_ms - self._copied_ms)
+            self._hold_timing.note(now_ms - self._copied_ms)
         self._phase = phase
-        self._phase_ms = now_ms
+        self._phase_since_ms = now_ms
--- a/packages/gateway/src/fuchsiahatch_gateway/hold_timing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/hold_timing.py
@@ -8,7 +8,7 @@
 #: arms take some 20 ms. Holding the second next would cost a pass of up to 1.5 s more.
 LONG_PASS_MS = 200
 #: Share of a switch's time by which the known one falls behind it where it was shorter.
-FALL_SHARE = 0.2
+DECAY_SHARE = 0.2
 
 
 class HoldTiming:
@@ -19,16 +19,16 @@
     later by as much.
     """
 
-    __slots__ = ("arms_ms",)
+    __slots__ = ("arming_ms",)
 
     def __init__(self) -> None:
         #: From the order to hold until all ranks were armed.
-        self.arms_ms = 0.0
+        self.arming_ms = 0.0
 
     def note(self, took_ms: float) -> None:
         """Take in how long a switch took; one that was longer counts at once."""
-        fallen_ms = self.arms_ms + FALL_SHARE * (took_ms - self.arms_ms)
-        self.arms_ms = max(took_ms, fallen_ms)
+        decayed_ms = self.arming_ms + DECAY_SHARE * (took_ms - self.arming_ms)
+        self.arming_ms = max(took_ms, decayed_ms)
 
     def passes_ahead(self, pass_ms: float) -> int:
         """Return how many passes beyond the last one begun to hold.
@@ -43,5 +43,5 @@
         if not pass_ms:
             return HOLD_AHEAD
         # The last one begun may be about to end.
-        needed = 1 + math.ceil(self.arms_ms / pass_ms)
+        needed = 1 + math.ceil(self.arming_ms / pass_ms)
         return min(max(needed, HOLD_AHEAD), MOST_AHEAD)
--- a/packages/gateway/src/fuchsiahatch_gateway/leadership.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/leadership.py
@@ -28,19 +28,19 @@
 
 #: Time for which a group must have been without a leader before a rank tries, for
 #: each number that its rank is: the ranks don't all call the store at once.
-STAGGER_MS = 40
+ELECTION_STAGGER_MS = 40
 #: Pause behind a try to win. An agent whose watch is late knows of no leader, or of one
 #: that is gone, for seconds; without it eight of them made some hundred calls a second.
-REST_MS = 300
+ELECTION_RETRY_INTERVAL_MS = 300
 #: Revisions by which a store that comes back from an older copy may fall back, at the
 #: most: a minute of 3,200 writes a second. Each era's terms begin behind those of the
 #: era before it, as long as no more are lost.
 REVISIONS_PER_ERA = 200_000
 #: Eras behind which terms begin anew, so that versions of maps, which are made of them,
 #: stay below 2^63 whatever number the store begins with.
-ERAS_IN_TERMS = 4_096
+ERA_MODULUS = 4_096
 #: Time kept back from the lease, as clocks and answers are late.
-LEASE_RESERVE_MS = 200
+LEASE_MARGIN_MS = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
     again: a later leader's term would be lower, and no agent would obey it, or the same
     as an earlier one's, and two leaders would switch maps under one term.
     """
-    return 2 * (era % ERAS_IN_TERMS * REVISIONS_PER_ERA + revision)
+    return 2 * (era % ERA_MODULUS * REVISIONS_PER_ERA + revision)
 
 
 def takeover_term(term: int) -> int:
@@ -121,20 +121,20 @@
     """
 
     __slots__ = (
-        "_absent_since_ms",
         "_clock",
         "_era",
         "_key",
+        "_leaderless_since_ms",
         "_lease",
+        "_next_attempt_ms",
         "_node",
         "_peer",
-        "_rest_until_ms",
         "_store",
         "_valid_until_ms",
-        "found",
+        "found_leader",
+        "renewal_unanswered",
         "settled_era",
         "term",
-        "unanswered",
     )
 
     def __init__(
@@ -150,14 +150,14 @@
         self._era = 0
         self._valid_until_ms = 0
         self.settled_era = SettledEra(store, clock)
-        self._absent_since_ms: int | None = None
-        self._rest_until_ms = 0
+        self._leaderless_since_ms: int | None = None
+        self._next_attempt_ms = 0
         self.term = 0
-        self.unanswered = False
-        self.found: LeaderRecord | None = None
+        self.renewal_unanswered = False
+        self.found_leader: LeaderRecord | None = None
 
     @property
-    def held(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this agent leads by its own clock, which counts suspended time."""
         return self._clock.now_ms() < self._valid_until_ms
 
@@ -169,27 +169,29 @@
         Usually the lease of one has ended before another can win. A store that came
         back from an older copy has forgotten it.
         """
-        return self.held and self.settled_era.settled
+        return self.holds_lease and self.settled_era.settled
 
     def note_restored(self) -> None:
         """Lead no more: the store came back from an older copy, without the lease."""
         self.settled_era.look()
         self.resign()
 
-    async def try_win(self, group: str, rank: int, known: LeaderRecord | None) -> bool:
+    async def try_win(
+        self, group: str, rank: int, known_leader: LeaderRecord | None
+    ) -> bool:
         """Try to become leader if there is none; return whether that worked."""
         now_ms = self._clock.now_ms()
-        if known is not None and known.peer != self._peer:
-            self._absent_since_ms = None
+        if known_leader is not None and known_leader.peer != self._peer:
+            self._leaderless_since_ms = None
             return False
-        if now_ms < self._rest_until_ms:
+        if now_ms < self._next_attempt_ms:
             return False
-        if self._absent_since_ms is None:
-            self._absent_since_ms = now_ms
-        if now_ms - self._absent_since_ms < STAGGER_MS * rank:
+        if self._leaderless_since_ms is None:
+            self._leaderless_since_ms = now_ms
+        if now_ms - self._leaderless_since_ms < ELECTION_STAGGER_MS * rank:
             return False
-        self._absent_since_ms = None
-        self._rest_until_ms = now_ms + REST_MS
+        self._leaderless_since_ms = None
+        self._next_attempt_ms = now_ms + ELECTION_RETRY_INTERVAL_MS
         try:
             return await self._win(group)
         except ConflictError:
@@ -198,13 +200,13 @@
             log_event(Event.SERVICE_CALL_FAILED, detail=fault.detail)
             return False
 
-    async def renew_for_ever(self) -> None:
+    async def renew_forever(self) -> None:
         """Renew the lease until the store says that it has ended, or `resign`."""
         lease = self._lease
         while lease == self._lease:
             await asyncio.sleep(LEADER_RENEWAL_MS / 1000)
             began_ms = self._clock.now_ms()
-            self.unanswered = True
+            self.renewal_unanswered = True
             try:
                 await self._store.keep(lease)
             except LeaseLostError:
@@ -215,16 +217,16 @@
                 log_event(Event.SERVICE_CALL_FAILED, detail=fault.detail)
                 continue
             if lease == self._lease and self._era == self._store.era:
-                self.unanswered = False
-                self._valid_until_ms = began_ms + LEADER_TTL_MS - LEASE_RESERVE_MS
+                self.renewal_unanswered = False
+                self._valid_until_ms = began_ms + LEADER_TTL_MS - LEASE_MARGIN_MS
 
     def resign(self) -> None:
         """Lead no more, and let the lease run out."""
         self._valid_until_ms = 0
         self._lease = 0
-        self.unanswered = False
+        self.renewal_unanswered = False
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """End the lease, so that another agent may lead at once."""
         lease = self._lease
         self.resign()
@@ -250,7 +252,7 @@
         if item is not None:
             leader = self._read_leader(group, item)
             if leader is not None and leader.peer != self._peer:
-                self.found = leader
+                self.found_leader = leader
                 return False
             # An earlier life of this agent led, or nobody can read who does. The key
             # must go first: the term is the revision at which it was made. Another
@@ -266,7 +268,7 @@
             raise StoreRestoredError(f"while {group} elected a leader")
         self._lease = lease
         self._era = era
-        self.unanswered = False
+        self.renewal_unanswered = False
         self.term = term_of(era, revision)
-        self._valid_until_ms = began_ms + LEADER_TTL_MS - LEASE_RESERVE_MS
+        self._valid_until_ms = began_ms + LEADER_TTL_MS - LEASE_MARGIN_MS
         return True
--- a/packages/gateway/src/fuchsiahatch_gateway/order_relays.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/order_relays.py
@@ -23,15 +23,15 @@
 DIRECT_MS = 25
 #: Time after which an order that was passed on goes out directly if it has no answer:
 #: two ways of some ms, and one engine that is asked.
-RELAY_LIMIT_MS = 120
+RELAY_TIMEOUT_MS = 120
 
 
-def relays_for(ranks: int) -> int:
+def relay_count(ranks: int) -> int:
     """Return how many agents pass orders on: as many as each passes on itself."""
     return max(round(math.sqrt(ranks)), 1)
 
 
-def share_out(
+def make_relays(
     group: str,
     term: int,
     order: Order,
@@ -50,7 +50,7 @@
     targets : sequence of RelayedOrder
         The first of each part passes the order on to the others of it.
     """
-    parts = relays_for(len(targets))
+    parts = relay_count(len(targets))
     shared = [targets[at::parts] for at in range(parts)]
     return [
         (
@@ -62,7 +62,7 @@
     ]
 
 
-def request_of(relay: OrderRelay, target: RelayedOrder, leader: Peer) -> OrderRequest:
+def make_request(relay: OrderRelay, target: RelayedOrder, leader: Peer) -> OrderRequest:
     """Return one target's order, to be answered to the leader."""
     order = Order(target.rank, OrderKind.PREPARE, relay.epoch, version=relay.version)
     return OrderRequest(
--- a/packages/gateway/src/fuchsiahatch_gateway/order_sender.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/order_sender.py
@@ -22,7 +22,7 @@
     RelayedOrder,
     encode,
 )
-from fuchsiahatch_gateway.order_relays import RELAY_LIMIT_MS, share_out
+from fuchsiahatch_gateway.order_relays import RELAY_TIMEOUT_MS, make_relays
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_experts.switching import Switch
@@ -30,7 +30,7 @@
     from fuchsiahatch_gateway.rank_agent import RankAgent
 
 #: Time after which an order without an answer counts as unanswered.
-REPLY_LIMIT_MS = 300
+REPLY_TIMEOUT_MS = 300
 #: Phases in which ranks are told to copy.
 _COPYING = (Phase.COPYING, Phase.CLEARING)
 
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Direct:
+class _DirectOrder:
     """An order to copy that goes to its agent itself."""
 
     request: OrderRequest
@@ -68,24 +68,24 @@
     """
 
     __slots__ = (
-        "_asked",
         "_change",
-        "_change_of",
+        "_change_version",
         "_datagrams",
+        "_full_change",
+        "_full_change_version",
         "_group",
-        "_lacking",
+        "_local_agent",
+        "_missing_base",
         "_numbers",
-        "_own",
         "_pacer",
+        "_pending",
+        "_queued",
+        "_queued_version",
         "_ranks",
+        "_relay_batches",
         "_relayed",
         "_switch",
         "_term",
-        "_to_relay",
-        "_waiting",
-        "_waiting_of",
-        "_whole",
-        "_whole_of",
     )
 
     def __init__(
@@ -93,7 +93,7 @@
         group: str,
         term: int,
         ranks: int,
-        own: "RankAgent",
+        local_agent: "RankAgent",
         datagrams: DatagramPort,
         switch: "Switch",
         pacer: "OrderPacer",
@@ -101,111 +101,115 @@
         self._group = group
         self._term = term
         self._ranks = ranks
-        self._own = own
+        self._local_agent = local_agent
         self._datagrams = datagrams
         self._switch = switch
         self._pacer = pacer
         self._numbers = itertools.count(1)
         #: Orders without an answer, by number, and until when it is waited for.
-        self._asked: dict[int, tuple[Order, int]] = {}
+        self._pending: dict[int, tuple[Order, int]] = {}
         #: What other agents pass on, by its change's base: the map that all others
         #: know, or none.
-        self._to_relay: dict[int, _Batch] = {}
+        self._relay_batches: dict[int, _Batch] = {}
         #: Orders to copy that wait for room on the link, by rank; a newer one of a rank
         #: takes the place of an older one.
-        self._waiting: dict[int, _Direct] = {}
-        self._waiting_of = 0
+        self._queued: dict[int, _DirectOrder] = {}
+        self._queued_version = 0
         #: Version and base of what was last passed on to a rank.
         self._relayed: dict[int, tuple[int, int]] = {}
         #: Ranks whose agents lack the map that a change is told from.
-        self._lacking: set[int] = set()
-        self._whole_of = 0
-        self._whole = MapChange(NO_BASE, 0, 0, b"")
-        self._change_of = 0
+        self._missing_base: set[int] = set()
+        self._full_change_version = 0
+        self._full_change = MapChange(NO_BASE, 0, 0, b"")
+        self._change_version = 0
         self._change = MapChange(NO_BASE, 0, 0, b"")
 
-    def room(self, now_ms: int) -> int | None:
+    def order_budget(self, now_ms: int) -> int | None:
         """Return how many orders the link has room for now; None for any number.
 
         Only copies are paced: passes may be held while all other orders are out.
         """
         if self._switch.phase is not Phase.COPYING or self._needs_relays(self._change):
             return None
-        return self._pacer.room(len(self._change.edits), now_ms)
+        return self._pacer.order_budget(len(self._change.edits), now_ms)
 
     def send(self, order: Order, peer: Peer, now_ms: int) -> None:
         """Send an order; one to copy waits for `flush`."""
         number = next(self._numbers)
         if order.placement is None:
-            self._await(number, order, now_ms + REPLY_LIMIT_MS)
+            self._expect_reply(number, order, now_ms + REPLY_TIMEOUT_MS)
             request = OrderRequest(self._group, self._term, number, order)
             self._datagrams.send(request, peer)
             return
         change = self._change_for(order)
         order = msgspec.structs.replace(order, placement=None)
-        passed_on = (order.version, change.base)
-        if self._needs_relays(change) and self._relayed.get(order.rank) != passed_on:
+        relayed_as = (order.version, change.base)
+        if self._needs_relays(change) and self._relayed.get(order.rank) != relayed_as:
             # Once: whoever should have passed it on before may be gone.
-            self._relayed[order.rank] = passed_on
-            self._await(number, order, now_ms + RELAY_LIMIT_MS)
-            batch = self._to_relay.setdefault(change.base, _Batch(order, change, []))
+            self._relayed[order.rank] = relayed_as
+            self._expect_reply(number, order, now_ms + RELAY_TIMEOUT_MS)
+            batch = self._relay_batches.setdefault(
+                change.base, _Batch(order, change, [])
+            )
             batch.targets.append(RelayedOrder(order.rank, number, peer))
             return
-        if order.version != self._waiting_of:
-            self._waiting_of = order.version
-            self._waiting.clear()
+        if order.version != self._queued_version:
+            self._queued_version = order.version
+            self._queued.clear()
         request = OrderRequest(self._group, self._term, number, order, change)
-        self._waiting[order.rank] = _Direct(request, peer)
+        self._queued[order.rank] = _DirectOrder(request, peer)
 
     def flush(self, now_ms: int) -> None:
         """Send what other agents pass on, and the copies that the link has room for."""
         self._send_relays()
         if self._switch.phase not in _COPYING:
-            self._waiting.clear()
-        for rank, direct in tuple(self._waiting.items()):
+            self._queued.clear()
+        for rank, direct in tuple(self._queued.items()):
             data = encode(direct.request)
             if not self._pacer.may_send(len(data), now_ms):
                 # Orders that were passed on and are answered late go out as well: all
                 # at once they made every answer later, and no change was complete.
                 return
-            del self._waiting[rank]
+            del self._queued[rank]
             self._pacer.spend(len(data))
-            until_ms = now_ms + REPLY_LIMIT_MS
-            self._await(direct.request.number, direct.request.order, until_ms)
+            deadline_ms = now_ms + REPLY_TIMEOUT_MS
+            self._expect_reply(direct.request.number, direct.request.order, deadline_ms)
             self._datagrams.send_encoded(data, direct.peer)
 
     def _send_relays(self) -> None:
-        for batch in self._to_relay.values():
-            for relay, peer in share_out(
+        for batch in self._relay_batches.values():
+            for relay, peer in make_relays(
                 self._group, self._term, batch.order, batch.change, batch.targets
             ):
                 self._datagrams.send(relay, peer)
-        self._to_relay.clear()
+        self._relay_batches.clear()
 
-    def take_reply(self, reply: OrderReply, now_ms: int) -> bool:
+    def receive_reply(self, reply: OrderReply, now_ms: int) -> bool:
         """Take in an agent's answer; return whether it was waited for."""
-        asked = self._asked.pop(reply.number, None)
-        if asked is None or reply.term != self._term or reply.group != self._group:
+        pending = self._pending.pop(reply.number, None)
+        if pending is None or reply.term != self._term or reply.group != self._group:
             return False
         if reply.lacks_base:
-            self._lacking.add(asked[0].rank)
+            self._missing_base.add(pending[0].rank)
         else:
-            self._lacking.discard(asked[0].rank)
-        self._switch.answered(asked[0], reply.result, now_ms)
+            self._missing_base.discard(pending[0].rank)
+        self._switch.answered(pending[0], reply.result, now_ms)
         return True
 
-    def give_up_replies(self, now_ms: int) -> None:
+    def expire_replies(self, now_ms: int) -> None:
         """Count orders as unanswered whose answers were waited for long enough."""
         late = [
-            number for number, (_, until_ms) in self._asked.items() if now_ms > until_ms
+            number
+            for number, (_, deadline_ms) in self._pending.items()
+            if now_ms > deadline_ms
         ]
         for number in late:
-            order, _ = self._asked.pop(number)
+            order, _ = self._pending.pop(number)
             self._switch.answered(order, OrderResult.UNKNOWN, now_ms)
 
-    def _await(self, number: int, order: Order, until_ms: int) -> None:
+    def _expect_reply(self, number: int, order: Order, deadline_ms: int) -> None:
         """Note that an order goes out, and until when its answer is waited for."""
-        self._asked[number] = (order, until_ms)
+        self._pending[number] = (order, deadline_ms)
 
     def _needs_relays(self, change: MapChange) -> bool:
         """Return whether a change told to all ranks would fill the link."""
@@ -214,35 +218,35 @@
     def _change_for(self, order: Order) -> MapChange:
         """Return an order's map as its difference from the one in force."""
         assert order.placement is not None
-        if order.rank in self._lacking:
+        if order.rank in self._missing_base:
             # Agents that have started anew know no map. Told each of them by the
             # leader itself, whole maps filled its link, and no change was complete.
-            return self._whole_map(order)
-        if self._change_of != order.version:
-            self._change_of = order.version
-            self._change = make_change(order.placement, *self._base())
+            return self._full_change_for(order)
+        if self._change_version != order.version:
+            self._change_version = order.version
+            self._change = make_change(order.placement, *self._change_base())
         return self._change
 
-    def _whole_map(self, order: Order) -> MapChange:
+    def _full_change_for(self, order: Order) -> MapChange:
         """Return an order's map as a whole, made once for each version."""
         assert order.placement is not None
-        if self._whole_of != order.version:
-            self._whole_of = order.version
-            self._whole = make_change(order.placement)
-        return self._whole
+        if self._full_change_version != order.version:
+            self._full_change_version = order.version
+            self._full_change = make_change(order.placement)
+        return self._full_change
 
-    def _base(self) -> tuple[int, Placement | None]:
+    def _change_base(self) -> tuple[int, Placement | None]:
         """Return the map in force, if the agents know it as this leader does."""
         in_force = self._switch.map_in_force
         if in_force is None:
             return NO_BASE, None
         base, known = in_force
-        if self._own.known_map(base, self._ranks) is None:
+        if self._local_agent.known_map(base, self._ranks) is None:
             # This agent has started anew, and so may have all others: asked one by one
             # whether they know the map, they are told whole ones one by one.
             return NO_BASE, None
         if base == 0 and known != first_map(
-            len(known), self._own.experts_per_layer, self._ranks
+            len(known), self._local_agent.experts_per_layer, self._ranks
         ):
             return NO_BASE, None
         return base, known
--- a/packages/gateway/src/fuchsiahatch_gateway/plan_readiness.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/plan_readiness.py
@@ -6,9 +6,9 @@
 
 #: Time for which something is lacking before a line says so: longer than a change of
 #: the map takes, for which nothing else is planned.
-LACK_AFTER_MS = 1_000
+LACK_LOG_DELAY_MS = 1_000
 #: Pause between two such lines.
-LACK_AGAIN_MS = 2_000
+LACK_LOG_INTERVAL_MS = 2_000
 
 
 class Lack(enum.Enum):
@@ -37,13 +37,13 @@
     group : str
     """
 
-    __slots__ = ("_group", "_lack", "_since_ms", "_told_ms")
+    __slots__ = ("_group", "_lack", "_logged_ms", "_since_ms")
 
     def __init__(self, group: str) -> None:
         self._group = group
         self._lack: Lack | None = None
         self._since_ms = 0
-        self._told_ms: int | None = None
+        self._logged_ms: int | None = None
 
     def note(self, lack: Lack | None, now_ms: int) -> None:
         """Take in what is lacking now; None when a plan could be made.
@@ -53,11 +53,11 @@
         """
         if lack is not self._lack:
             self._lack, self._since_ms = lack, now_ms
-            self._told_ms = None
-        if lack is None or now_ms - self._since_ms < LACK_AFTER_MS:
+            self._logged_ms = None
+        if lack is None or now_ms - self._since_ms < LACK_LOG_DELAY_MS:
             return
-        if self._told_ms is None or now_ms - self._told_ms >= LACK_AGAIN_MS:
-            self._told_ms = now_ms
+        if self._logged_ms is None or now_ms - self._logged_ms >= LACK_LOG_INTERVAL_MS:
+            self._logged_ms = now_ms
             log_event(
                 Event.PLANS_LACK,
                 group=self._group,
--- a/packages/gateway/src/fuchsiahatch_gateway/plan_searches.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/plan_searches.py
@@ -17,7 +17,7 @@
     from fuchsiahatch_gateway.datagrams import RankState
 
 #: Searches for a copy, of 0.1 ms each, that a plan makes before others may work.
-SEARCHES_AT_ONCE = 20
+SEARCH_STEPS_PER_TURN = 20
 
 
 class PlanSearches:
@@ -78,7 +78,7 @@
         self.engine: Engine | None = None
         self.gap_ms = 0
 
-    def learn(self, engine: "Engine", gap_ms: int) -> None:
+    def set_engine(self, engine: "Engine", gap_ms: int) -> None:
         """Take in the engines' figures, or that they have changed."""
         if (engine, gap_ms) == (self.engine, self.gap_ms):
             return
@@ -107,7 +107,7 @@
         except (zlib.error, ValueError) as fault:
             log_event(Event.DATAGRAM_DROPPED, detail=f"choices: {fault}")
 
-    def work(self, pass_ms: float, most_copies: int, now_ms: int) -> None:
+    def work(self, pass_ms: float, max_copies: int, now_ms: int) -> None:
         """Begin to search for a change of the map, if one may be worth it now.
 
         Parameters
@@ -134,7 +134,7 @@
         paces = [self._paces.get(rank, 1.0) for rank in range(self._ranks)]
         passes = Passes(pass_ms, self.gap_ms, paces)
         search = planner.look(
-            self._switch.epoch, version, placement, passes, most_copies, now_ms
+            self._switch.epoch, version, placement, passes, max_copies, now_ms
         )
         if search is not None:
             self._searching = True
@@ -172,13 +172,13 @@
     ) -> None:
         """Search for a plan bit by bit, reading what comes in between."""
         try:
-            found: list[Plan | None] = []
-            while not found:
-                found = _search_on(search)
+            result: list[Plan | None] = []
+            while not result:
+                result = _advance_search(search)
                 await asyncio.sleep(0)
         finally:
             self._searching = False
-        plan = found[0]
+        plan = result[0]
         if plan is None or self._switch.map_version != version:
             return
         if self._on_plan(plan, passes):
@@ -201,10 +201,10 @@
         )
 
 
-def _search_on(search: "PlanSearch") -> "list[Plan | None]":
+def _advance_search(search: "PlanSearch") -> "list[Plan | None]":
     """Go on with a search for a plan; return what it found, once it has ended."""
     try:
-        for _ in range(SEARCHES_AT_ONCE):
+        for _ in range(SEARCH_STEPS_PER_TURN):
             next(search)
     except StopIteration as ended:
         return [ended.value]
--- a/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
@@ -27,8 +27,8 @@
 #: How often a rank that copies, or is armed, is asked whether it is done, and how often
 #: at most. The slowest of all ranks decides when a switch can go on: waiting for the
 #: usual report, each 100 ms, cost nearly that much for a copy and as much for an arm.
-EFFECT_POLL_MS = 15
-EFFECT_POLLS = 60
+EFFECT_POLL_INTERVAL_MS = 15
+MAX_EFFECT_POLLS = 60
 #: Share of the last copy's time for which the next one is not asked after: copies take
 #: much the same time, and each question costs some 1 ms of processor time.
 COPY_WAIT_SHARE = 0.75
@@ -38,11 +38,11 @@
 PASS_WEIGHT = 0.5
 #: Maps that are kept as bases of changes: the one in force, the one that is prepared,
 #: and those that were given up in between.
-KEPT_MAPS = 4
+MAX_KEPT_MAPS = 4
 #: Times that an order is given until there is an answer. With one try, a tenth of the
 #: answers lost held passes back for 250 ms in most switches, and every stream of the
 #: group was late (measured: half of the worth of six seconds).
-ORDER_TRIES = 3
+MAX_ORDER_ATTEMPTS = 3
 
 
 class RankAgent:
@@ -68,43 +68,43 @@
     """
 
     __slots__ = (
-        "_agreed",
-        "_answers",
+        "_answer_times",
         "_choices",
         "_choices_bytes",
-        "_copy_s",
+        "_committed_version",
         "_experts",
-        "_experts_of",
+        "_experts_key",
+        "_last_copy_s",
         "_layers",
         "_maps",
         "_sequence",
-        "_stepped",
+        "_step_sample",
         "_upstream",
         "address",
         "last_report",
         "pass_ms",
         "term",
-        "vouched",
+        "uncommitted_version",
     )
 
     def __init__(self, upstream: ModelEngine, address: str) -> None:
         self._upstream = upstream
-        self._answers = AnswerTimes()
+        self._answer_times = AnswerTimes()
         self.address = address
         self._sequence = 0
         self._choices: Choices | None = None
         self._experts: tuple[tuple[int, ...], ...] | None = None
-        self._experts_of: tuple[int, int] | None = None
+        self._experts_key: tuple[int, int] | None = None
         self._layers = 0
         self._choices_bytes = 0
-        self.vouched = 0
-        self._agreed = 0
-        self._copy_s = 0.0
+        self.uncommitted_version = 0
+        self._committed_version = 0
+        self._last_copy_s = 0.0
         self._maps: dict[int, Placement] = {}
         self.last_report: EngineReport | None = None
         self.term = 0
         self.pass_ms = 0.0
-        self._stepped: tuple[int, float] | None = None
+        self._step_sample: tuple[int, float] | None = None
 
     def note_term(self, term: int) -> None:
         """Take no order of an older term from now on."""
@@ -119,24 +119,24 @@
         ------
         PlatformError
         """
-        seen = await self.read_report()
+        report = await self.read_report()
         choices = b""
-        if seen.group:
-            await self._read_experts(seen)
+        if report.group:
+            await self._read_experts(report)
             if with_choices:
                 choices = await self._read_choices()
         self._sequence += 1
         return RankState(
-            seen.group,
+            report.group,
             self.address,
             self._sequence,
-            self._make_report(seen),
-            seen.running,
-            seen.pace,
+            self._make_report(report),
+            report.running,
+            report.pace,
             choices,
         )
 
-    async def begin_choices(self) -> None:
+    async def reset_choices(self) -> None:
         """Let the next choices that are read count from now.
 
         Raises
@@ -153,27 +153,27 @@
         PlatformError
         """
         began_ms = _now_ms()
-        seen = await self._upstream.report()
-        self._answers.note(_now_ms() - began_ms)
-        if self.last_report is not None and seen.born_ms != self.last_report.born_ms:
-            self._forget_life()
-        self.last_report = seen
-        self._note_step(seen)
-        return seen
-
-    def _make_report(self, seen: "EngineReport") -> RankReport:
+        report = await self._upstream.report()
+        self._answer_times.note(_now_ms() - began_ms)
+        if self.last_report is not None and report.born_ms != self.last_report.born_ms:
+            self._clear_engine_state()
+        self.last_report = report
+        self._note_step(report)
+        return report
+
+    def _make_report(self, report: "EngineReport") -> RankReport:
         return RankReport(
-            rank=seen.rank,
-            epoch=seen.epoch,
+            rank=report.rank,
+            epoch=report.epoch,
             term=self.term,
-            open=seen.open,
-            step=seen.step,
-            map_version=seen.map_version,
-            prepared=seen.prepared,
-            armed=seen.armed,
-            held=seen.held,
+            open=report.open,
+            step=report.step,
+            map_version=report.map_version,
+            prepared=report.prepared,
+            armed=report.armed,
+            held=report.held,
             experts=self._experts,
-            vouched=self.vouched,
+            vouched=self.uncommitted_version,
         )
 
     @property
@@ -188,21 +188,28 @@
             return 0
         return len(self._choices.counts) // self._layers
 
-    def _forget_life(self) -> None:
+    def _clear_engine_state(self) -> None:
         """Forget what was read of the engine's former life: its counts began anew."""
         self._choices = None
         self._experts = None
-        self._experts_of = None
-        self._stepped = None
+        self._experts_key = None
+        self._step_sample = None
         self.pass_ms = 0.0
 
-    def _note_step(self, seen: "EngineReport") -> None:
+    def _note_step(self, report: "EngineReport") -> None:
         now = asyncio.get_running_loop().time()
-        if seen.running == 0 or self._stepped is None or seen.step < self._stepped[0]:
+        if (
+            report.running == 0
+            or self._step_sample is None
+            or report.step < self._step_sample[0]
+        ):
             self.pass_ms = 0.0
-            self._stepped = (seen.step, now)
+            self._step_sample = (report.step, now)
             return
-        passes, took_ms = seen.step - self._stepped[0], (now - self._stepped[1]) * 1000
+        passes, took_ms = (
+            report.step - self._step_sample[0],
+            (now - self._step_sample[1]) * 1000,
+        )
         if not passes:
             # A pass that is under way for longer than usual counts as it grows.
             self.pass_ms = max(self.pass_ms, took_ms)
@@ -212,9 +219,9 @@
         recent_ms = took_ms / passes
         known_ms = self.pass_ms or recent_ms
         self.pass_ms = known_ms + PASS_WEIGHT * (recent_ms - known_ms)
-        self._stepped = (seen.step, now)
+        self._step_sample = (report.step, now)
 
-    async def carry_out(self, request: OrderRequest) -> OrderResult | None:
+    async def execute(self, request: OrderRequest) -> OrderResult | None:
         """Carry an order out; None when it must not be."""
         if request.term < self.term:
             log_event(
@@ -224,14 +231,14 @@
         self.note_term(request.term)
         order = request.order
         if request.change is not None:
-            placement = self._find_map(request.change)
+            placement = self._build_map(request.change)
             order = structs.replace(order, placement=placement)
-        return await self.give_order(order)
+        return await self.apply_order(order)
 
     def knows_base(self, request: OrderRequest) -> bool:
         """Return whether the map is known that an order's differs from."""
         change = request.change
-        return change is None or self._base_of(change) is not None
+        return change is None or self._find_base(change) is not None
 
     def known_map(self, version: int, ranks: int) -> "Placement | None":
         """Return the map of a version, if this agent was told of it."""
@@ -239,32 +246,32 @@
             return first_map(self._layers, self.experts_per_layer, ranks)
         return self._maps.get(version)
 
-    def _base_of(self, change: MapChange) -> "Placement | tuple[()] | None":
+    def _find_base(self, change: MapChange) -> "Placement | tuple[()] | None":
         """Return the base of a change, an empty one for a whole map, or None."""
         if change.base == NO_BASE:
             return ()
         return self.known_map(change.base, change.ranks)
 
-    def _find_map(self, change: MapChange) -> "Placement":
-        return apply_change(change, self._base_of(change) or None)
+    def _build_map(self, change: MapChange) -> "Placement":
+        return apply_change(change, self._find_base(change) or None)
 
-    async def give_order(self, order: Order) -> OrderResult:
+    async def apply_order(self, order: Order) -> OrderResult:
         """Give an order to the upstream, again where it gives no answer."""
         if order.kind is OrderKind.COMMIT:
             return self._commit(order.version)
         if order.placement is not None:
             self._keep_map(order.version, order.placement)
-            if order.version != self._agreed:
+            if order.version != self._committed_version:
                 # An order to copy may come again, and behind the commit.
-                self.vouched = max(self.vouched, order.version)
+                self.uncommitted_version = max(self.uncommitted_version, order.version)
         result = OrderResult.UNKNOWN
-        for unanswered in range(ORDER_TRIES):
+        for failed_attempts in range(MAX_ORDER_ATTEMPTS):
             began_ms = _now_ms()
-            wait_ms = self._answers.wait_ms(unanswered)
-            result = await _give(self._upstream, order, wait_ms)
+            timeout_ms = self._answer_times.timeout_ms(failed_attempts)
+            result = await _call_engine(self._upstream, order, timeout_ms)
             if result is not OrderResult.UNKNOWN:
                 if order.kind is not OrderKind.PREPARE:
-                    self._answers.note(_now_ms() - began_ms)
+                    self._answer_times.note(_now_ms() - began_ms)
                 break
         if result is not OrderResult.BEGUN:
             log_event(
@@ -283,17 +290,17 @@
         An agent that has started anew meanwhile may have vouched in its former life
         that it agreed to nothing, and whoever was told so counts on it.
         """
-        if self.vouched != version and self._agreed != version:
+        if self.uncommitted_version != version and self._committed_version != version:
             return OrderResult.REFUSED
-        self.vouched, self._agreed = 0, version
+        self.uncommitted_version, self._committed_version = 0, version
         return OrderResult.BEGUN
 
     def _keep_map(self, version: int, placement: "Placement") -> None:
         self._maps[version] = placement
-        for known in sorted(self._maps)[:-KEPT_MAPS]:
+        for known in sorted(self._maps)[:-MAX_KEPT_MAPS]:
             del self._maps[known]
 
-    async def follow_effect(self, order: Order) -> t.AsyncIterator[RankState]:
+    async def poll_effect(self, order: Order) -> t.AsyncIterator[RankState]:
         """Yield the rank's state behind an order, and once its effect is complete.
 
         Raises
@@ -307,41 +314,41 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         if order.kind is OrderKind.PREPARE:
-            await asyncio.sleep(COPY_WAIT_SHARE * self._copy_s)
-        for _ in range(EFFECT_POLLS):
+            await asyncio.sleep(COPY_WAIT_SHARE * self._last_copy_s)
+        for _ in range(MAX_EFFECT_POLLS):
             if _is_complete(order, state.report):
                 return
-            await asyncio.sleep(EFFECT_POLL_MS / 1000)
+            await asyncio.sleep(EFFECT_POLL_INTERVAL_MS / 1000)
             state = await self.read_state(with_choices=False)
             if _is_complete(order, state.report):
                 if order.kind is OrderKind.PREPARE:
-                    self._copy_s = loop.time() - began
+                    self._last_copy_s = loop.time() - began
                 yield state
 
-    async def _read_experts(self, seen: "EngineReport") -> None:
+    async def _read_experts(self, report: "EngineReport") -> None:
         """Read which experts the rank holds, once for each map."""
-        wanted = (seen.epoch, seen.map_version)
-        if self._experts_of == wanted:
+        wanted = (report.epoch, report.map_version)
+        if self._experts_key == wanted:
             return
         self._experts = None
-        self._experts_of = None
+        self._experts_key = None
         found = await self._upstream.experts()
-        if found.version == seen.map_version:
+        if found.version == report.map_version:
             self._experts = found.experts
-            self._experts_of = wanted
+            self._experts_key = wanted
             self._layers = len(found.experts)
 
     async def _read_choices(self) -> bytes:
-        fresh = await self._upstream.choices()
-        before, self._choices = self._choices, fresh
+        latest = await self._upstream.choices()
+        before, self._choices = self._choices, latest
         if (
             before is None
             or not self._layers
-            or len(before.counts) != len(fresh.counts)
+            or len(before.counts) != len(latest.counts)
         ):
             return b""
         since = [
-            new - old for new, old in zip(fresh.counts, before.counts, strict=True)
+            new - old for new, old in zip(latest.counts, before.counts, strict=True)
         ]
         if min(since) < 0:
             # The upstream has started anew: its counts began at zero.
@@ -360,17 +367,19 @@
     return report.prepared >= order.version
 
 
-async def _give(upstream: ModelEngine, order: Order, wait_ms: int) -> OrderResult:
+async def _call_engine(
+    upstream: ModelEngine, order: Order, timeout_ms: int
+) -> OrderResult:
     if order.kind is OrderKind.PREPARE:
         assert order.placement is not None
         return await upstream.prepare(order.version, order.epoch, order.placement)
     if order.kind is OrderKind.ARM:
-        return await upstream.arm(order.version, order.epoch, order.step, wait_ms)
+        return await upstream.arm(order.version, order.epoch, order.step, timeout_ms)
     if order.kind is OrderKind.DISARM:
-        return await upstream.disarm(order.version, order.epoch, wait_ms)
+        return await upstream.disarm(order.version, order.epoch, timeout_ms)
     if order.kind is OrderKind.HOLD:
-        return await upstream.hold(order.epoch, order.step, wait_ms)
-    return await upstream.let_go(order.epoch, order.step, wait_ms)
+        return await upstream.hold(order.epoch, order.step, timeout_ms)
+    return await upstream.let_go(order.epoch, order.step, timeout_ms)
 
 
 def _now_ms() -> float:
--- a/packages/gateway/src/fuchsiahatch_gateway/stall_aware_clock.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/stall_aware_clock.py
@@ -2,7 +2,7 @@
 
 #: Time that one pause between two looks counts as, at most: a loop looks each 20 ms,
 #: and reads all that has come before it does.
-MOST_STEP_MS = 60
+MAX_STEP_MS = 60
 
 
 class StallAwareClock:
@@ -23,13 +23,13 @@
         Time for which others could be heard, from an arbitrary start.
     """
 
-    __slots__ = ("_looked_ms", "heard_ms")
+    __slots__ = ("_updated_ms", "active_ms")
 
     def __init__(self, now_ms: int) -> None:
-        self._looked_ms = now_ms
-        self.heard_ms = 0
+        self._updated_ms = now_ms
+        self.active_ms = 0
 
-    def look(self, now_ms: int) -> None:
+    def update(self, now_ms: int) -> None:
         """Note that all that had come by now is read."""
-        self.heard_ms += min(max(now_ms - self._looked_ms, 0), MOST_STEP_MS)
-        self._looked_ms = now_ms
+        self.active_ms += min(max(now_ms - self._updated_ms, 0), MAX_STEP_MS)
+        self._updated_ms = now_ms
--- a/packages/gateway/src/fuchsiahatch_gateway/standby.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/standby.py
@@ -16,7 +16,7 @@
 #: come each 20 ms; a leader that plans or starts may miss some of them.
 SILENCE_MS = 120
 #: Age behind which a notice is forgotten: its switch has long ended.
-NOTICE_LIMIT_MS = 5_000
+MAX_NOTICE_AGE_MS = 5_000
 
 
 class Standby:
@@ -28,23 +28,23 @@
         The leader's last word.
     """
 
-    __slots__ = ("_heard_ms", "notice")
+    __slots__ = ("_notified_ms", "notice")
 
     def __init__(self) -> None:
         self.notice: StandbyNotice | None = None
-        self._heard_ms = 0
+        self._notified_ms = 0
 
     def note(self, notice: StandbyNotice, now_ms: int) -> None:
         """Take in a leader's word, unless a later leader's was heard."""
         if self.notice is None or notice.term >= self.notice.term:
             self.notice = notice
-            self._heard_ms = now_ms
+            self._notified_ms = now_ms
 
-    def suspects(self, now_ms: int) -> bool:
+    def suspects_leader(self, now_ms: int) -> bool:
         """Return whether the leader has fallen silent behind its last word."""
         if self.notice is None:
             return False
-        return SILENCE_MS <= now_ms - self._heard_ms <= NOTICE_LIMIT_MS
+        return SILENCE_MS <= now_ms - self._notified_ms <= MAX_NOTICE_AGE_MS
 
     def forget(self) -> None:
         """Forget the notice: its switch has ended, or is being ended."""
--- a/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
@@ -41,13 +41,13 @@
     """
 
     __slots__ = (
+        "_active_clock",
         "_clock",
-        "_hearing",
         "_make_leader",
         "_peer",
         "_rank",
+        "_report_state",
         "_standby",
-        "_tell_state",
         "leader",
         "records",
     )
@@ -58,61 +58,67 @@
         peer: Peer,
         clock: "Clock",
         make_leader: MakeLeader,
-        tell_state: t.Callable[[], None],
+        report_state: t.Callable[[], None],
     ) -> None:
         self._rank = rank
         self._peer = peer
         self._clock = clock
         self._make_leader = make_leader
-        self._tell_state = tell_state
+        self._report_state = report_state
         self._standby = Standby()
-        self._hearing = StallAwareClock(clock.now_ms())
+        self._active_clock = StallAwareClock(clock.now_ms())
         self.leader: GroupLeader | None = None
         self.records: dict[str, LeaderRecord] = {}
 
     def note(self, notice: StandbyNotice) -> None:
         """Take in the word of a leader whose standby this agent is."""
-        self._standby.note(notice, self._hearing.heard_ms)
+        self._standby.note(notice, self._active_clock.active_ms)
         if notice.asks_state:
-            self._tell_state()
+            self._report_state()
 
-    def obey(self, notice: TakeoverNotice, peer: Peer) -> None:
+    def accept(self, notice: TakeoverNotice, peer: Peer) -> None:
         """Obey a standby, and tell it of this rank at once: passes are held."""
-        seen = self._rank.last_report
-        if seen is None or seen.group != notice.group or notice.term < self._rank.term:
+        report = self._rank.last_report
+        if (
+            report is None
+            or report.group != notice.group
+            or notice.term < self._rank.term
+        ):
             return
         self.records[notice.group] = LeaderRecord(notice.group, notice.term, peer)
         self._rank.note_term(notice.term)
-        self._tell_state()
+        self._report_state()
 
     async def work(self) -> None:
         """Take over where passes are held here and the leader is silent."""
-        self._hearing.look(self._clock.now_ms())
+        self._active_clock.update(self._clock.now_ms())
         if self.leader is not None:
-            self._go_on(self.leader)
+            self._continue(self.leader)
             return
         notice = self._standby.notice
-        if notice is None or not self._standby.suspects(self._hearing.heard_ms):
+        if notice is None or not self._standby.suspects_leader(
+            self._active_clock.active_ms
+        ):
             return
         try:
-            seen = await self._rank.read_report()
+            report = await self._rank.read_report()
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
             return
-        if seen.held is not None and self._rank.term == notice.term:
-            self._begin(notice, seen)
+        if report.held is not None and self._rank.term == notice.term:
+            self._begin(notice, report)
         self._standby.forget()
 
-    def _begin(self, notice: StandbyNotice, seen: "EngineReport") -> None:
+    def _begin(self, notice: StandbyNotice, report: "EngineReport") -> None:
         term = takeover_term(notice.term)
-        log_event(Event.TAKEOVER_BEGUN, group=notice.group, term=term, step=seen.held)
+        log_event(Event.TAKEOVER_BEGUN, group=notice.group, term=term, step=report.held)
         self._rank.note_term(term)
-        self.leader = self._make_leader(notice, seen, term)
-        self.leader.introduce(notice.peers)
+        self.leader = self._make_leader(notice, report, term)
+        self.leader.add_peers(notice.peers)
         self.records[notice.group] = LeaderRecord(notice.group, term, self._peer)
-        self._tell_state()
+        self._report_state()
 
-    def _go_on(self, leader: "GroupLeader") -> None:
+    def _continue(self, leader: "GroupLeader") -> None:
         leader.work()
         if leader.ended or not leader.may_lead():
             log_event(Event.TAKEOVER_ENDED, phase=leader.switch.phase.value)
--- a/tests/gateway/led_groups.py
+++ b/tests/gateway/led_groups.py
@@ -17,20 +17,20 @@
 
 TERM = 2
 #: How often an agent tells its rank's state.
-STATE_MS = 100
+STATE_INTERVAL_MS = 100
 #: How often a leader works without being told anything.
-WORK_MS = 20
+WORK_INTERVAL_MS = 20
 #: Time that a datagram is on its way.
-WAY_MS = 2
+LATENCY_MS = 2
 #: Datagrams that a loop reads before it does anything else.
-READ_AT_ONCE = 128
+MAX_READS_PER_TURN = 128
 #: Steps of a search for a plan; more than a leader takes at once.
 PLAN_STEPS = 100
 #: Share of a core that the leader's host has.
-CORE = 0.645
+CORE_SHARE = 0.645
 
 
-class Port:
+class RecordingPort:
     """Takes what the leader sends."""
 
     def __init__(self):
@@ -67,36 +67,36 @@
     def __init__(self, ranks, layers, experts, places, state_ms=0.0, plan_ms=0.0):
         self.clock = ManualClock(1_000)
         self.ranks = ranks
-        self.state_ms, self.plan_ms = state_ms / CORE, plan_ms / CORE
+        self.state_ms, self.plan_ms = state_ms / CORE_SHARE, plan_ms / CORE_SHARE
         self.layers, self.experts = layers, experts
         self.placement = first_map(layers, experts, ranks)
         self.asked = []
         self.silent = set()
-        self.answers = False
+        self.refuses_calls = False
         self.is_sole_leader = True
         self.planned_ms = 0.0
-        self._late_ms = 0.0
+        self._unspent_ms = 0.0
         self._sequence = 0
-        self.port = Port()
-        own = RankAgent(types.SimpleNamespace(), "10.0.0.0:80")
-        own.note_term(TERM)
-        own._layers = layers
-        own.pass_ms = 100.0
+        self.port = RecordingPort()
+        local_agent = RankAgent(types.SimpleNamespace(), "10.0.0.0:80")
+        local_agent.note_term(TERM)
+        local_agent._layers = layers
+        local_agent.pass_ms = 100.0
         self.leader = GroupLeader(
             "g",
             TERM,
             0,
             ranks,
-            own,
+            local_agent,
             ("10.0.0.0", 1),
             self.port,
             self.clock,
-            self._engine_of,
+            self._connect_engine,
             self._list_engines,
             Authority(
-                has_lease=lambda: True,
-                is_alone=lambda: self.is_sole_leader,
-                lacks_store=lambda: False,
+                holds_lease=lambda: True,
+                is_sole_leader=lambda: self.is_sole_leader,
+                store_unreachable=lambda: False,
             ),
             link_bytes_per_s=500_000.0,
         )
@@ -110,12 +110,12 @@
             copy_ms=50.0,
         )
 
-    def _engine_of(self, address):
+    def _connect_engine(self, address):
         self.asked.append(address)
-        return types.SimpleNamespace(report=self._answer_nothing)
+        return types.SimpleNamespace(report=self._fail_report)
 
-    async def _answer_nothing(self):
-        if self.answers:
+    async def _fail_report(self):
+        if self.refuses_calls:
             raise PlatformError("refused")
         await asyncio.sleep(3_600)
 
@@ -124,9 +124,9 @@
 
     def spend(self, cost_ms):
         """Let a piece of work take its time."""
-        self._late_ms += cost_ms
-        whole_ms = int(self._late_ms)
-        self._late_ms -= whole_ms
+        self._unspent_ms += cost_ms
+        whole_ms = int(self._unspent_ms)
+        self._unspent_ms -= whole_ms
         self.clock.advance(whole_ms)
 
     def plan(self, *_args, **_options):
@@ -165,7 +165,7 @@
         """
         began_ms = self.clock.now_ms()
         waiting = [
-            (began_ms + STATE_MS * rank // self.ranks, rank)
+            (began_ms + STATE_INTERVAL_MS * rank // self.ranks, rank)
             for rank in range(self.ranks)
         ]
         heapq.heapify(waiting)
@@ -174,19 +174,19 @@
             if stall is not None and woke_ms - began_ms >= stall[0]:
                 self.clock.advance(stall[1])
                 stall = None
-            for _ in range(READ_AT_ONCE):
-                if waiting[0][0] + WAY_MS > self.clock.now_ms():
+            for _ in range(MAX_READS_PER_TURN):
+                if waiting[0][0] + LATENCY_MS > self.clock.now_ms():
                     break
                 told_ms, rank = heapq.heappop(waiting)
-                heapq.heappush(waiting, (told_ms + STATE_MS, rank))
+                heapq.heappush(waiting, (told_ms + STATE_INTERVAL_MS, rank))
                 if rank in self.silent:
                     continue
-                self.leader.take_state(self.state(rank), (f"10.0.0.{rank}", 1))
+                self.leader.receive_state(self.state(rank), (f"10.0.0.{rank}", 1))
                 self.spend(self.state_ms)
             # What the leader put off until it has read all that waits.
             await asyncio.sleep(0)
             self.leader.work()
             await asyncio.sleep(0)
-            rest_ms = max(woke_ms + WORK_MS - self.clock.now_ms(), 0)
-            next_ms = waiting[0][0] + WAY_MS - self.clock.now_ms()
+            rest_ms = max(woke_ms + WORK_INTERVAL_MS - self.clock.now_ms(), 0)
+            next_ms = waiting[0][0] + LATENCY_MS - self.clock.now_ms()
             self.clock.advance(max(min(rest_ms, next_ms), 1))
--- a/tests/gateway/test_agents.py
+++ b/tests/gateway/test_agents.py
@@ -77,7 +77,7 @@
         agent, process, task = self.running.pop(rank)
         task.cancel()
         process._tasks.cancel()
-        for one in agent._led():
+        for one in agent._active_leaders():
             one.stop()
         if agent.datagrams.transport is not None:
             stopped = agent.datagrams.transport.stopListening()
--- a/tests/gateway/test_answer_times.py
+++ b/tests/gateway/test_answer_times.py
@@ -6,8 +6,8 @@
 from fuchsiahatch_experts.rank_orders import Order, OrderKind, OrderResult
 from fuchsiahatch_gateway import rank_agent
 from fuchsiahatch_gateway.answer_times import (
-    LEAST_WAIT_MS,
-    MOST_WAIT_MS,
+    MAX_TIMEOUT_MS,
+    MIN_TIMEOUT_MS,
     AnswerTimes,
 )
 from fuchsiahatch_gateway.rank_agent import RankAgent
@@ -44,15 +44,15 @@
         for number in range(50):
             steady.note(8.0)
             varying.note(8.0 + 6.0 * (number % 2))
-        self.assertEqual(steady.wait_ms(), LEAST_WAIT_MS)
-        self.assertGreater(varying.wait_ms(), 20)
+        self.assertEqual(steady.timeout_ms(), MIN_TIMEOUT_MS)
+        self.assertGreater(varying.timeout_ms(), 20)
 
     def test_each_try_without_an_answer_doubles_the_wait_up_to_the_longest(self):
         times = AnswerTimes()
-        self.assertEqual(times.wait_ms(), MOST_WAIT_MS)
+        self.assertEqual(times.timeout_ms(), MAX_TIMEOUT_MS)
         times.note(2.0)
-        waits = [times.wait_ms(number) for number in range(3)]
-        self.assertEqual(waits, [LEAST_WAIT_MS, 2 * LEAST_WAIT_MS, MOST_WAIT_MS])
+        waits = [times.timeout_ms(number) for number in range(3)]
+        self.assertEqual(waits, [MIN_TIMEOUT_MS, 2 * MIN_TIMEOUT_MS, MAX_TIMEOUT_MS])
 
 
 class TestLostOrders(unittest.TestCase):
@@ -67,7 +67,7 @@
                 await agent.read_report()
             began_ms = engine.now_ms
             order = Order(0, OrderKind.ARM, 1, version=5, step=9)
-            result = await agent.give_order(order)
+            result = await agent.apply_order(order)
             return result, engine.now_ms - began_ms
 
         with mock.patch.object(rank_agent, "_now_ms", lambda: engine.now_ms):
--- a/tests/gateway/test_hold_timing.py
+++ b/tests/gateway/test_hold_timing.py
@@ -59,6 +59,6 @@
                 group.clock.advance(after_ms)
                 leader.switch.phase = phase
                 leader._note_phase(group.clock.now_ms())
-            return leader._timing.arms_ms
+            return leader._hold_timing.arming_ms
 
         self.assertEqual(run(play()), 50)
--- a/tests/gateway/test_late_leader.py
+++ b/tests/gateway/test_late_leader.py
@@ -86,7 +86,7 @@
     def test_all_silent_agents_engines_are_asked_in_turn(self):
         async def play():
             group = LedGroup(32, 12, 128, 5)
-            group.answers = True
+            group.refuses_calls = True
             with mock.patch.object(planning, "plan_change", group.plan):
                 await group.run(1_000)
                 group.silent = set(range(1, 30))
@@ -104,7 +104,7 @@
             group = LedGroup(8, 6, 64, 11)
             with mock.patch.object(planning, "plan_change", group.plan):
                 await group.run(500)
-            group.leader.take_state(group.state(1), ("10.0.0.1", 1))
+            group.leader.receive_state(group.state(1), ("10.0.0.1", 1))
             group.leader.stop()
             with mock.patch.object(Switch, "orders") as orders:
                 await asyncio.sleep(0)
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -5,7 +5,11 @@
 from fuchsiahatch_adapter.store import StoreClient
 from fuchsiahatch_core.clock import Clock
 from fuchsiahatch_core.exceptions import ConflictError
-from fuchsiahatch_gateway.leadership import REST_MS, LeaderRecord, Leadership
+from fuchsiahatch_gateway.leadership import (
+    ELECTION_RETRY_INTERVAL_MS,
+    LeaderRecord,
+    Leadership,
+)
 from fuchsiahatch_http1.client import ConnectionPool
 from fuchsiahatch_standins.fleet_store import FleetStore
 from tests.loopback import run
@@ -37,9 +41,9 @@
                 self.assertTrue(await election.one.try_win("g", 0, None))
                 self.assertFalse(await election.other.try_win("g", 0, None))
                 first = election.one.term
-                await election.one.give_up()
-                self.assertFalse(election.one.held)
-                await asyncio.sleep(REST_MS / 1000)
+                await election.one.release()
+                self.assertFalse(election.one.holds_lease)
+                await asyncio.sleep(ELECTION_RETRY_INTERVAL_MS / 1000)
                 self.assertTrue(await election.other.try_win("g", 0, None))
                 return first, election.other.term
 
@@ -84,7 +88,7 @@
                 for _ in range(50):
                     await election.one.try_win("g", 0, gone)
                     await asyncio.sleep(0.01)
-                return len(election.store.calls) - before, election.one.found
+                return len(election.store.calls) - before, election.one.found_leader
 
         calls, found = run(elect())
         self.assertLessEqual(calls, 4)
@@ -94,12 +98,12 @@
         async def elect():
             async with Election() as election:
                 await election.one.try_win("g", 0, None)
-                renewing = asyncio.ensure_future(election.one.renew_for_ever())
+                renewing = asyncio.ensure_future(election.one.renew_forever())
                 await asyncio.sleep(1.8)
-                self.assertTrue(election.one.held)
+                self.assertTrue(election.one.holds_lease)
                 election.store.faults.silent = True
                 await asyncio.sleep(1.9)
                 renewing.cancel()
-                return election.one.held
+                return election.one.holds_lease
 
         self.assertFalse(run(elect()))
--- a/tests/gateway/test_order_relays.py
+++ b/tests/gateway/test_order_relays.py
@@ -6,7 +6,7 @@
 from fuchsiahatch_experts.rank_orders import Order, OrderKind
 from fuchsiahatch_gateway.datagrams import OrderRelay, RelayedOrder, decode, encode
 from fuchsiahatch_gateway.order_pacing import CHANGE_LINK_MS, OrderPacer
-from fuchsiahatch_gateway.order_relays import relays_for, request_of, share_out
+from fuchsiahatch_gateway.order_relays import make_relays, make_request, relay_count
 
 LEADER = ("10.0.0.9", 7_341)
 
@@ -23,38 +23,38 @@
         self.order = Order(0, OrderKind.PREPARE, 3, version=9)
         self.change = make_change((((0, 1), (2,)),))
 
-    def share_out(self, ranks):
-        return share_out("g", 40, self.order, self.change, make_targets(ranks))
+    def make_relays(self, ranks):
+        return make_relays("g", 40, self.order, self.change, make_targets(ranks))
 
     def test_each_target_is_told_once(self):
         for ranks in (1, 2, 3, 31, 62, 95, 191):
-            shared = self.share_out(ranks)
+            shared = self.make_relays(ranks)
             told = [target for relay, _ in shared for target in relay.targets]
             self.assertEqual(
                 sorted(told, key=lambda one: one.rank), make_targets(ranks)
             )
             most = max(len(relay.targets) for relay, _ in shared)
-            self.assertLessEqual(len(shared), relays_for(ranks))
-            self.assertLessEqual(most, relays_for(ranks) + 2)
+            self.assertLessEqual(len(shared), relay_count(ranks))
+            self.assertLessEqual(most, relay_count(ranks) + 2)
 
     def test_the_first_target_passes_on_and_the_leader_is_answered(self):
-        for relay, peer in self.share_out(31):
+        for relay, peer in self.make_relays(31):
             self.assertEqual(peer, relay.targets[0].peer)
             for target in relay.targets:
-                request = request_of(relay, target, LEADER)
+                request = make_request(relay, target, LEADER)
                 self.assertEqual(request.leader, LEADER)
                 self.assertEqual(request.number, target.number)
                 self.assertEqual(request.order.rank, target.rank)
                 self.assertEqual(decode(encode(request)), request)
 
     def test_no_target_or_leader_is_taken_that_cannot_be_reached(self):
-        relay, _ = self.share_out(2)[0]
+        relay, _ = self.make_relays(2)[0]
         bad = RelayedOrder(0, 1, ("10.0.1.1", 7_341))
         data = encode(OrderRelay("g", 1, 1, 1, self.change, (bad,)))
         self.assertIsInstance(decode(data), OrderRelay)
         with self.assertRaises(FormError):
             decode(data.replace(b"10.0.1.1", b"10.0.1.x"))
-        request = encode(request_of(relay, relay.targets[0], LEADER))
+        request = encode(make_request(relay, relay.targets[0], LEADER))
         with self.assertRaises(FormError):
             decode(request.replace(b"10.0.0.9", b"10.0.0.x"))
 
@@ -64,9 +64,9 @@
         # what one of four copies does (a skew of 4.7 to 1.48 and to 1.47, played).
         for ranks, link_bytes_per_s in ((63, 500_000.0), (96, 375_000.0)):
             pacer = OrderPacer(link_bytes_per_s, 0)
-            copies = pacer.copies_in_a_change(ranks)
+            copies = pacer.max_copies_per_rank(ranks)
             self.assertGreaterEqual(copies, 4)
-            sent = 4 * ranks * copies * relays_for(ranks)
+            sent = 4 * ranks * copies * relay_count(ranks)
             self.assertLessEqual(sent, CHANGE_LINK_MS / 1000 * link_bytes_per_s)
 
     def test_small_groups_are_told_directly(self):
@@ -76,7 +76,7 @@
 
     def test_relays_share_the_work_evenly(self):
         sizes = collections.Counter(
-            len(relay.targets) for relay, _ in self.share_out(95)
+            len(relay.targets) for relay, _ in self.make_relays(95)
         )
         self.assertLessEqual(max(sizes) - min(sizes), 1)
 
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -6,9 +6,9 @@
 from fuchsiahatch_experts.switching import Phase
 from fuchsiahatch_gateway.datagrams import OrderRelay, OrderReply, encode
 from fuchsiahatch_gateway.order_pacing import OrderPacer
-from fuchsiahatch_gateway.order_relays import RELAY_LIMIT_MS
+from fuchsiahatch_gateway.order_relays import RELAY_TIMEOUT_MS
 from fuchsiahatch_gateway.order_sender import OrderSender
-from tests.gateway.led_groups import Port
+from tests.gateway.led_groups import RecordingPort
 
 RANKS, LAYERS, EXPERTS = 63, 8, 252
 LINK_BYTES_PER_S = 500_000.0
@@ -17,7 +17,7 @@
 
 class TestOrderSender(unittest.TestCase):
     def setUp(self):
-        self.port = Port()
+        self.port = RecordingPort()
         self.answered = []
         self.switch = types.SimpleNamespace(
             phase=Phase.CLEARING,
@@ -78,8 +78,8 @@
                 unknown = OrderReply(
                     "g", 40, target.number, OrderResult.UNKNOWN, lacks_base=True
                 )
-                self.sender.take_reply(unknown, 10)
-        self.assertIsNone(self.sender.room(20))
+                self.sender.receive_reply(unknown, 10)
+        self.assertIsNone(self.sender.order_budget(20))
         sent = self.clear(20)
         self.assertLess(sum(map(len, sent)), 0.1 * LINK_BYTES_PER_S)
         relays = [message for message, _ in self.port.sent]
@@ -105,7 +105,7 @@
         reply = OrderReply(
             "g", 40, lacking.number, OrderResult.UNKNOWN, lacks_base=True
         )
-        self.sender.take_reply(reply, 10)
+        self.sender.receive_reply(reply, 10)
         for rank in (lacking.rank + 1, lacking.rank + 2):
             order = Order(rank, OrderKind.PREPARE, 1, version=10, placement=MAP)
             self.sender.send(order, ("10.0.0.1", 7_341), 20)
@@ -129,7 +129,7 @@
         self.clear(0)
         sent = 0
         for now_ms in range(200, 1_200, 20):
-            self.sender.give_up_replies(now_ms)
+            self.sender.expire_replies(now_ms)
             sent += sum(map(len, self.clear(now_ms)))
         self.assertLess(sent, 0.6 * LINK_BYTES_PER_S)
         self.assertGreater(sent, 0.4 * LINK_BYTES_PER_S)
@@ -137,7 +137,7 @@
     def test_what_still_waits_is_dropped_with_its_change(self):
         self.switch.map_in_force = None
         self.clear(0)
-        self.sender.give_up_replies(200)
+        self.sender.expire_replies(200)
         self.clear(200)
         self.switch.phase = Phase.IDLE
         self.port.sent.clear()
@@ -155,15 +155,15 @@
         ]
         for number in numbers:
             reply = OrderReply("g", 40, number, OrderResult.BEGUN)
-            self.assertTrue(self.sender.take_reply(reply, 10))
-        self.sender.give_up_replies(RELAY_LIMIT_MS + 1)
+            self.assertTrue(self.sender.receive_reply(reply, 10))
+        self.sender.expire_replies(RELAY_TIMEOUT_MS + 1)
         self.assertEqual(self.answered[-1], (5, OrderResult.UNKNOWN))
-        (_,) = self.clear(RELAY_LIMIT_MS + 1, [5])
+        (_,) = self.clear(RELAY_TIMEOUT_MS + 1, [5])
         self.assertIsInstance(self.port.sent[0][0], bytes)
 
     def test_an_answer_that_nobody_waits_for_counts_for_nothing(self):
         reply = OrderReply("g", 40, 1, OrderResult.BEGUN)
-        self.assertFalse(self.sender.take_reply(reply, 10))
+        self.assertFalse(self.sender.receive_reply(reply, 10))
         self.assertEqual(self.answered, [])
 
 
--- a/tests/gateway/test_reporting.py
+++ b/tests/gateway/test_reporting.py
@@ -5,10 +5,10 @@
 from fuchsiahatch_experts.rank_orders import RankReport
 from fuchsiahatch_gateway.datagrams import RankState, decode
 from fuchsiahatch_gateway.reporting import (
-    FRESH_MS,
-    FULL_STATES,
-    LOAD_PAUSE_MS_PER_ENTRY,
-    ChoicesTurn,
+    CHOICES_WINDOW_MS,
+    INITIAL_FULL_STATES,
+    LOAD_INTERVAL_MS_PER_ENTRY,
+    ChoicesAction,
     Reporter,
 )
 
@@ -43,7 +43,7 @@
         self.assertEqual(self.tell(6), {6})
         self.assertEqual(self.tell(2), {2})
         self.assertEqual(self.tell(3), set())
-        self.clock.advance(LOAD_PAUSE_MS_PER_ENTRY * len(ENTRIES))
+        self.clock.advance(LOAD_INTERVAL_MS_PER_ENTRY * len(ENTRIES))
         self.assertEqual(self.tell(3), {3})
 
     def test_one_that_fills_up_or_has_room_again_is_told_at_once(self):
@@ -72,7 +72,7 @@
         told = 0
         for _ in range(40):
             self.clock.advance(50)
-            told += self.reporter.choices_turn() is ChoicesTurn.TELL
+            told += self.reporter.choices_action() is ChoicesAction.TELL
         self.assertGreaterEqual(told, 8)
 
     def test_choices_that_are_told_seldom_are_of_late(self):
@@ -84,21 +84,23 @@
         turns = []
         for _ in range(60):
             self.clock.advance(100)
-            turns.append((self.clock.now_ms(), self.reporter.choices_turn()))
-        begun = [at for at, turn in turns if turn is ChoicesTurn.BEGIN]
-        told = [at for at, turn in turns if turn is ChoicesTurn.TELL]
+            turns.append((self.clock.now_ms(), self.reporter.choices_action()))
+        begun = [at for at, turn in turns if turn is ChoicesAction.BEGIN]
+        told = [at for at, turn in turns if turn is ChoicesAction.TELL]
         self.assertGreaterEqual(len(told), 3)
         for began_ms, told_ms in zip(begun, told[1:], strict=False):
             self.assertLessEqual(0, told_ms - began_ms)
-            self.assertLessEqual(told_ms - began_ms, FRESH_MS + 100)
+            self.assertLessEqual(told_ms - began_ms, CHOICES_WINDOW_MS + 100)
 
     def test_experts_are_told_behind_a_change_and_each_second(self):
         # The leader of 96 ranks hears 960 states a second, each with 16 rows that have
         # not changed for seconds: a third of its link of 3 Mbit/s.
         trimmed = [self.reporter.trim(self.state(4), 8) for _ in range(20)]
         with_experts = [state.report.experts is not None for state in trimmed]
-        self.assertEqual(with_experts[:FULL_STATES], [True] * FULL_STATES)
-        self.assertEqual(sum(with_experts), FULL_STATES + 2)
+        self.assertEqual(
+            with_experts[:INITIAL_FULL_STATES], [True] * INITIAL_FULL_STATES
+        )
+        self.assertEqual(sum(with_experts), INITIAL_FULL_STATES + 2)
         for changed in ((self.state(5), 8), (self.state(5), 10)):
             told = self.reporter.trim(*changed)
             self.assertEqual(told.report.experts, ((1, 2), (3,)))
--- a/tests/gateway/test_restored_leaders.py
+++ b/tests/gateway/test_restored_leaders.py
@@ -65,7 +65,7 @@
         async def work(served, leadership, clock, copy):
             before = leadership.is_sole_leader
             await served.restore(copy)
-            return before, leadership.held, leadership.is_sole_leader
+            return before, leadership.holds_lease, leadership.is_sole_leader
 
         self.assertEqual(self.elect(work), (True, False, False))
 
@@ -78,7 +78,7 @@
             reused = served.store._serve_grant(60_000)[1]["lease"]
             await asyncio.sleep(0.02)
             await served.client.keep(lease)
-            return lease == reused, leadership.held
+            return lease == reused, leadership.holds_lease
 
         self.assertEqual(self.elect(work), (True, False))
 
@@ -116,7 +116,7 @@
 
                 with mock.patch.object(StoreClient, "grant", grant):
                     won = await leadership.try_win("g", 0, None)
-                return won, leadership.held, served.store.keys(LEADERS_PREFIX)
+                return won, leadership.holds_lease, served.store.keys(LEADERS_PREFIX)
 
         self.assertEqual(run(play()), (False, False, [LEADERS_PREFIX + "g"]))
 
--- a/tests/gateway/test_standby.py
+++ b/tests/gateway/test_standby.py
@@ -27,15 +27,15 @@
     def give(self, rank, kind):
         placement = (((0,), (1,)),) if kind is OrderKind.PREPARE else None
         order = Order(1, kind, 1, version=77, placement=placement)
-        return asyncio.run(rank.give_order(order))
+        return asyncio.run(rank.apply_order(order))
 
     def test_a_version_is_vouched_for_until_its_commit(self):
         rank = RankAgent(TakesAll(), "10.0.0.1:80")
         self.assertIs(self.give(rank, OrderKind.COMMIT), OrderResult.REFUSED)
         self.give(rank, OrderKind.PREPARE)
-        self.assertEqual(rank.vouched, 77)
+        self.assertEqual(rank.uncommitted_version, 77)
         self.assertIs(self.give(rank, OrderKind.COMMIT), OrderResult.BEGUN)
-        self.assertEqual(rank.vouched, 0)
+        self.assertEqual(rank.uncommitted_version, 0)
         self.assertIs(self.give(rank, OrderKind.COMMIT), OrderResult.BEGUN)
 
     def test_a_copy_that_is_asked_late_takes_no_commit_back(self):
@@ -44,7 +44,7 @@
         rank = RankAgent(TakesAll(), "10.0.0.1:80")
         for kind in (OrderKind.PREPARE, OrderKind.COMMIT, OrderKind.PREPARE):
             self.give(rank, kind)
-        self.assertEqual(rank.vouched, 0)
+        self.assertEqual(rank.uncommitted_version, 0)
 
 
 class TestTakeovers(unittest.TestCase):
@@ -75,20 +75,20 @@
 class TestStandby(unittest.TestCase):
     def test_a_leader_that_falls_silent_is_suspected(self):
         one = Standby()
-        self.assertFalse(one.suspects(9_000))
+        self.assertFalse(one.suspects_leader(9_000))
         one.note(StandbyNotice("g", 4, PEERS), 1_000)
-        self.assertFalse(one.suspects(1_000 + standby.SILENCE_MS - 1))
-        self.assertTrue(one.suspects(1_000 + standby.SILENCE_MS))
-        self.assertFalse(one.suspects(1_001 + standby.NOTICE_LIMIT_MS))
+        self.assertFalse(one.suspects_leader(1_000 + standby.SILENCE_MS - 1))
+        self.assertTrue(one.suspects_leader(1_000 + standby.SILENCE_MS))
+        self.assertFalse(one.suspects_leader(1_001 + standby.MAX_NOTICE_AGE_MS))
         one.forget()
-        self.assertFalse(one.suspects(1_000 + standby.SILENCE_MS))
+        self.assertFalse(one.suspects_leader(1_000 + standby.SILENCE_MS))
 
     def test_a_former_leaders_late_word_changes_nothing(self):
         one = Standby()
         one.note(StandbyNotice("g", 4, PEERS), 1_000)
         one.note(StandbyNotice("g", 2, {}), 1_100)
         self.assertEqual((one.notice.term, one.notice.peers), (4, PEERS))
-        self.assertTrue(one.suspects(1_000 + standby.SILENCE_MS))
+        self.assertTrue(one.suspects_leader(1_000 + standby.SILENCE_MS))
 
     def test_peers_that_nothing_could_be_sent_to(self):
         # An agent ends, and its engine reports no load: its leader's own peer was
