--- a/packages/gateway/src/fuchsiahatch_gateway/stall_aware_clock.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/stall_aware_clock.py
@@ -1,17 +1,17 @@
-"""The time for which a process was able to hear others."""
+"""A clock that measures peers' silence without the local process's stalls."""
 
-#: Time that one pause between two looks counts as, at most: a loop looks each 20 ms,
-#: and reads all that has come before it does.
+#: Most that one interval between two updates counts as. The loop updates the clock each
+#: 20 ms, after it has read all datagrams that have arrived.
 MAX_STEP_MS = 60
 
 
 class StallAwareClock:
-    """A clock that stands still while its own process does.
+    """A clock that stops while its process is stalled.
 
-    Silences are measured by it. A process that is late, or whose host stood still, has
-    heard nobody for that time: by the plain clock all others look silent at once as it
-    wakes, and what it does about them makes it later still. By this one they have the
-    whole of their time left to speak.
+    Timeouts for silent peers are measured by it. A process that runs late, or whose
+    host was suspended, has received nothing for that time: by the wall clock all peers
+    look silent at once when it resumes, and handling them delays it further. By this
+    clock each peer still has its whole timeout left to send.
 
     Parameters
     ----------
@@ -19,8 +19,8 @@
 
     Attributes
     ----------
-    heard_ms : int
-        Time for which others could be heard, from an arbitrary start.
+    active_ms : int
+        Time for which messages could be received, from an arbitrary start.
     """
 
     __slots__ = ("_updated_ms", "active_ms")
@@ -30,6 +30,6 @@
         self.active_ms = 0
 
     def update(self, now_ms: int) -> None:
-        """Note that all that had come by now is read."""
+        """Advance the clock; everything that arrived before `now_ms` has been read."""
         self.active_ms += min(max(now_ms - self._updated_ms, 0), MAX_STEP_MS)
         self._updated_ms = now_ms
