--- a/packages/gateway/src/fuchsiahatch_gateway/answer_times.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/answer_times.py
@@ -1,22 +1,22 @@
-"""How long an upstream takes to answer, and how long its answer is waited for."""
+"""Response times of an upstream, and the timeout of a call to it."""
 
-#: Shortest wait: a process that has other work reads an answer that late.
+#: A busy process may read an answer this late.
 MIN_TIMEOUT_MS = 15
-#: Longest wait, and that before the first answer is known.
+#: Longest timeout, also used before the first answer.
 MAX_TIMEOUT_MS = 50
-#: Weights of the newest answer in the running mean and in its deviation, as TCP's
-#: retransmission timeout has them (RFC 6298).
+#: Weights of the latest sample in the moving mean and in its deviation, as for TCP's
+#: retransmission timeout (RFC 6298).
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
-#: Deviations above the mean behind which an answer counts as lost.
+#: Deviations above the mean after which an answer counts as lost.
 DEVIATIONS = 4
 
 
 class AnswerTimes:
-    """Estimates from the answers of one upstream when a call is made again.
+    """Estimates the retry timeout of calls to one upstream from its response times.
 
-    All ranks of a group wait for the last of them to take an order. Where a share of
-    the orders gets no answer, the wait before each second try is what they wait for.
+    A group waits until its last rank has accepted an order. If some orders get no
+    answer, the timeout before the second attempt is what the whole group waits for.
     """
 
     __slots__ = ("_deviation_ms", "_mean_ms")
@@ -26,7 +26,7 @@
         self._deviation_ms = 0.0
 
     def note(self, took_ms: float) -> None:
-        """Take in how long an answer took."""
+        """Add the response time of one call."""
         if self._mean_ms is None:
             self._mean_ms, self._deviation_ms = took_ms, took_ms / 2
             return
@@ -35,13 +35,13 @@
         self._mean_ms += MEAN_WEIGHT * (took_ms - self._mean_ms)
 
     def timeout_ms(self, failed_attempts: int = 0) -> int:
-        """Return how long to wait for an answer.
+        """Return the timeout of the next attempt of a call.
 
         Parameters
         ----------
-        unanswered : int, optional
-            Tries of the same call before. Each doubles the wait: the upstream, or this
-            process, may have become slower than it was.
+        failed_attempts : int, optional
+            Earlier attempts of the same call. Each doubles the timeout: the upstream,
+            or this process, may have become slower.
         """
         if self._mean_ms is None:
             return MAX_TIMEOUT_MS
--- a/tests/gateway/test_answer_times.py
+++ b/tests/gateway/test_answer_times.py
@@ -18,7 +18,7 @@
 
 
 class Engine:
-    """Answers reports in a set time, and an order's tries as it is told to."""
+    """Answers reports in a fixed time, and loses the first `lost` arm orders."""
 
     def __init__(self, report_ms, lost):
         self.now_ms = 0.0
@@ -39,7 +39,7 @@
 
 
 class TestAnswerTimes(unittest.TestCase):
-    def test_answers_that_vary_are_waited_for_longer(self):
+    def test_varying_response_times_have_a_longer_timeout(self):
         steady, varying = AnswerTimes(), AnswerTimes()
         for number in range(50):
             steady.note(8.0)
@@ -47,18 +47,18 @@
         self.assertEqual(steady.timeout_ms(), MIN_TIMEOUT_MS)
         self.assertGreater(varying.timeout_ms(), 20)
 
-    def test_each_try_without_an_answer_doubles_the_wait_up_to_the_longest(self):
+    def test_each_failed_attempt_doubles_the_timeout_up_to_the_maximum(self):
         times = AnswerTimes()
         self.assertEqual(times.timeout_ms(), MAX_TIMEOUT_MS)
         times.note(2.0)
-        waits = [times.timeout_ms(number) for number in range(3)]
-        self.assertEqual(waits, [MIN_TIMEOUT_MS, 2 * MIN_TIMEOUT_MS, MAX_TIMEOUT_MS])
+        timeouts = [times.timeout_ms(number) for number in range(3)]
+        self.assertEqual(timeouts, [MIN_TIMEOUT_MS, 2 * MIN_TIMEOUT_MS, MAX_TIMEOUT_MS])
 
 
 class TestLostOrders(unittest.TestCase):
-    def test_a_lost_arm_holds_no_pass_beyond_the_pause_of_streams(self):
-        # Each switch of 72 ranks with a tenth of the answers lost held a pass of 60 ms
-        # for 100 ms more, and all streams of the group were late.
+    def test_lost_arm_orders_are_retried_within_the_streams_gap(self):
+        # With a tenth of the answers lost, each switch of 72 ranks held a pass of 60 ms
+        # for 100 ms longer, and all streams of the group were late.
         engine = Engine(report_ms=2.0, lost=2)
 
         async def play():
