--- a/packages/gateway/src/fuchsiahatch_gateway/order_pacing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/order_pacing.py
@@ -1,27 +1,27 @@
-"""How many orders a leader's link has room for."""
+"""Rate limit of the orders that a leader sends over its link."""
 
 from fuchsiahatch_gateway.order_relays import DIRECT_MS, relay_count
 
-#: Time that a change may take on the leader's link: a third of what an order's answer
-#: is waited for.
+#: Time that one map change may take on the leader's link: a third of the timeout for an
+#: order's reply.
 CHANGE_LINK_MS = 100
-#: Share of the leader's link that orders may take, and what may go out at once. All
-#: ranks' states come in over the same link.
+#: Share of the leader's link for orders, and the bytes that may be sent at once. The
+#: states of all ranks arrive over the same link.
 ORDERS_LINK_SHARE = 0.5
 BURST_BYTES = 8_192
-#: Size of an order but for its map, with the headers of its datagram.
+#: Size of an order without its map, including the headers of its datagram.
 ORDER_BYTES = 120
-#: Size of one copy in a changed map: 3.6 bytes each of 96, 4 of 261.
+#: Size of one copy in a map change: 3.6 bytes for each of 96 copies, 4 of 261.
 COPY_BYTES = 4
-#: Copies of a rank that one change has at most, whatever the link carries.
+#: Most copies per rank in one change, whatever the link's bandwidth.
 MAX_COPIES = 64
 
 
 class OrderPacer:
-    """Spreads the orders to copy over the link's time.
+    """Token bucket that spreads PREPARE orders over time.
 
-    A burst of 63 orders of 700 bytes overflowed a link of 4 Mbit/s: some were lost in
-    each change, and it waited 300 ms for their answers, often twice.
+    A burst of 63 orders of 700 bytes overflows a link of 4 Mbit/s: some orders of each
+    change are lost, and the change waits 300 ms for their replies, often twice.
 
     Parameters
     ----------
@@ -39,45 +39,45 @@
     def __init__(self, link_bytes_per_s: float, now_ms: int) -> None:
         self._link_bytes_per_s = link_bytes_per_s
         self._budget_bytes = float(BURST_BYTES)
-        #: What may go out at once: the largest order at least, or it never would.
+        #: At least the largest order, which could never be sent otherwise.
         self._capacity_bytes = BURST_BYTES
         self._refilled_ms = now_ms
 
     def order_budget(self, change_bytes: int, now_ms: int) -> int:
-        """Return how many orders with a change of that size may go out now."""
+        """Return how many orders with a change of that size may be sent now."""
         order_bytes = ORDER_BYTES + change_bytes
         self._refill(order_bytes, now_ms)
         return max(int(self._budget_bytes // order_bytes), 0)
 
     def may_send(self, size_bytes: int, now_ms: int) -> bool:
-        """Return whether an order of that many bytes may go out now."""
+        """Return whether an order of that size may be sent now."""
         self._refill(size_bytes, now_ms)
         return self._budget_bytes >= size_bytes
 
     def _refill(self, order_bytes: int, now_ms: int) -> None:
         refill = ORDERS_LINK_SHARE * self._link_bytes_per_s / 1000
-        room = self._budget_bytes + refill * (now_ms - self._refilled_ms)
+        budget_bytes = self._budget_bytes + refill * (now_ms - self._refilled_ms)
         self._capacity_bytes = max(self._capacity_bytes, order_bytes)
-        self._budget_bytes = min(room, self._capacity_bytes)
+        self._budget_bytes = min(budget_bytes, self._capacity_bytes)
         self._refilled_ms = now_ms
 
     def needs_relays(self, ranks: int, change_bytes: int) -> bool:
-        """Return whether orders to all ranks would fill the link for too long."""
+        """Return whether orders sent to all ranks would occupy the link too long."""
         size_bytes = ranks * (ORDER_BYTES + change_bytes)
-        room_bytes = DIRECT_MS / 1000 * ORDERS_LINK_SHARE * self._link_bytes_per_s
-        return size_bytes > room_bytes
+        max_bytes = DIRECT_MS / 1000 * ORDERS_LINK_SHARE * self._link_bytes_per_s
+        return size_bytes > max_bytes
 
     def spend(self, size_bytes: int) -> None:
-        """Count an order that went out."""
+        """Take an order that was sent out of the budget."""
         self._budget_bytes -= size_bytes
 
     def max_copies_per_rank(self, ranks: int) -> int:
-        """Return how many copies a rank may take for a change to reach all in time.
+        """Return how many copies per rank a change may have to reach all in time.
 
-        The copies of all ranks are told to each agent that passes orders on: with 300
-        rows to each of 63 agents a link of 4 Mbit/s was full for longer than orders
-        are waited for, each was sent again, and no change was ever complete.
+        Each relaying agent is sent the copies of all ranks: 300 rows to each of 63
+        agents occupy a link of 4 Mbit/s for longer than the reply timeout, each order
+        is sent again, and no change ever completes.
         """
-        room_bytes = CHANGE_LINK_MS / 1000 * self._link_bytes_per_s
+        max_bytes = CHANGE_LINK_MS / 1000 * self._link_bytes_per_s
         copy_bytes = relay_count(ranks) * ranks * COPY_BYTES
-        return int(min(room_bytes / copy_bytes, MAX_COPIES)) or 1
+        return int(min(max_bytes / copy_bytes, MAX_COPIES)) or 1
