--- a/packages/gateway/src/fuchsiahatch_gateway/order_relays.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/order_relays.py
@@ -1,9 +1,9 @@
-"""Orders of one change that some agents pass on to others for the leader.
+"""Relaying of a change's orders: some agents forward them for the leader.
 
-A change of four copies a rank is 1.1 KB to each of 96 agents: 0.3 s of the leader's
-link of 3 Mbit/s. Passed on by ten agents it is 13 KB of the leader's link and 9 KB of
-theirs. Whoever passes orders on decides nothing: each agent checks its own order as if
-it came from the leader, and answers the leader.
+A change with four copies per rank is 1.1 KB to each of 96 agents, which takes 0.3 s of
+a leader's link of 3 Mbit/s. Relayed by ten agents it takes 13 KB of the leader's link
+and 9 KB of each of theirs. A relaying agent decides nothing: each agent checks its
+order as if it came from the leader, and replies to the leader.
 """
 
 import math
@@ -18,16 +18,16 @@
     RelayedOrder,
 )
 
-#: Time on the leader's link beyond which a change's orders are passed on: a switch
-#: takes some 300 ms in all, and ten ms more for the second way.
+#: Time on the leader's link above which the orders of a change are relayed. A switch
+#: takes some 300 ms, and the second hop adds 10 ms.
 DIRECT_MS = 25
-#: Time after which an order that was passed on goes out directly if it has no answer:
-#: two ways of some ms, and one engine that is asked.
+#: Time after which a relayed order without a reply is sent directly. A reply takes two
+#: hops of some ms each, and one call to an engine.
 RELAY_TIMEOUT_MS = 120
 
 
 def relay_count(ranks: int) -> int:
-    """Return how many agents pass orders on: as many as each passes on itself."""
+    """Return how many agents relay orders: as many as each of them relays to."""
     return max(round(math.sqrt(ranks)), 1)
 
 
@@ -38,20 +38,21 @@
     change: MapChange,
     targets: t.Sequence[RelayedOrder],
 ) -> list[tuple[OrderRelay, Peer]]:
-    """Return what to send, and to whom, so that an order reaches all its targets.
+    """Return the relay messages, with their recipients, that reach all targets.
 
     Parameters
     ----------
     group : str
     term : int
     order : Order
-        To copy; alike for all but its rank.
+        A PREPARE order; the same for all targets but for its rank.
     change : MapChange
     targets : sequence of RelayedOrder
-        The first of each part passes the order on to the others of it.
+        They are split into parts; the first target of each part relays the order to
+        the rest of its part.
     """
     parts = relay_count(len(targets))
-    shared = [targets[at::parts] for at in range(parts)]
+    shared = [targets[first::parts] for first in range(parts)]
     return [
         (
             OrderRelay(group, term, order.epoch, order.version, change, tuple(part)),
@@ -63,7 +64,7 @@
 
 
 def make_request(relay: OrderRelay, target: RelayedOrder, leader: Peer) -> OrderRequest:
-    """Return one target's order, to be answered to the leader."""
+    """Return the order for one target, whose reply goes to the leader."""
     order = Order(target.rank, OrderKind.PREPARE, relay.epoch, version=relay.version)
     return OrderRequest(
         relay.group, relay.term, target.number, order, relay.change, leader
--- a/tests/gateway/test_order_relays.py
+++ b/tests/gateway/test_order_relays.py
@@ -26,18 +26,18 @@
     def make_relays(self, ranks):
         return make_relays("g", 40, self.order, self.change, make_targets(ranks))
 
-    def test_each_target_is_told_once(self):
+    def test_each_target_is_reached_once(self):
         for ranks in (1, 2, 3, 31, 62, 95, 191):
             shared = self.make_relays(ranks)
-            told = [target for relay, _ in shared for target in relay.targets]
+            reached = [target for relay, _ in shared for target in relay.targets]
             self.assertEqual(
-                sorted(told, key=lambda one: one.rank), make_targets(ranks)
+                sorted(reached, key=lambda target: target.rank), make_targets(ranks)
             )
-            most = max(len(relay.targets) for relay, _ in shared)
+            largest = max(len(relay.targets) for relay, _ in shared)
             self.assertLessEqual(len(shared), relay_count(ranks))
-            self.assertLessEqual(most, relay_count(ranks) + 2)
+            self.assertLessEqual(largest, relay_count(ranks) + 2)
 
-    def test_the_first_target_passes_on_and_the_leader_is_answered(self):
+    def test_the_first_target_relays_and_replies_go_to_the_leader(self):
         for relay, peer in self.make_relays(31):
             self.assertEqual(peer, relay.targets[0].peer)
             for target in relay.targets:
@@ -47,7 +47,7 @@
                 self.assertEqual(request.order.rank, target.rank)
                 self.assertEqual(decode(encode(request)), request)
 
-    def test_no_target_or_leader_is_taken_that_cannot_be_reached(self):
+    def test_an_invalid_address_of_a_target_or_leader_is_rejected(self):
         relay, _ = self.make_relays(2)[0]
         bad = RelayedOrder(0, 1, ("10.0.1.1", 7_341))
         data = encode(OrderRelay("g", 1, 1, 1, self.change, (bad,)))
@@ -59,9 +59,10 @@
             decode(request.replace(b"10.0.0.9", b"10.0.0.x"))
 
     def test_a_change_of_several_copies_fits_a_large_group(self):
-        # Chats of a group of 96 ranks stumble for two seconds behind each shift of
-        # demand: its link carries one copy a rank and change, and five changes bring
-        # what one of four copies does (a skew of 4.7 to 1.48 and to 1.47, played).
+        # With room for only one copy per rank in a change, streams of a group of 96
+        # ranks stall for two seconds after each shift of demand: five such changes
+        # achieve what one with four copies does (in simulation, a skew of 4.7 falls to
+        # 1.48 and to 1.47).
         for ranks, link_bytes_per_s in ((63, 500_000.0), (96, 375_000.0)):
             pacer = OrderPacer(link_bytes_per_s, 0)
             copies = pacer.max_copies_per_rank(ranks)
@@ -69,7 +70,7 @@
             sent = 4 * ranks * copies * relay_count(ranks)
             self.assertLessEqual(sent, CHANGE_LINK_MS / 1000 * link_bytes_per_s)
 
-    def test_small_groups_are_told_directly(self):
+    def test_small_groups_need_no_relays(self):
         pacer = OrderPacer(1_250_000.0, 0)
         self.assertFalse(pacer.needs_relays(8, 120))
         self.assertTrue(pacer.needs_relays(63, 1_000))
