--- a/packages/gateway/src/fuchsiahatch_gateway/order_sender.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/order_sender.py
@@ -1,4 +1,4 @@
-"""Orders of a leader to the agents of its ranks, and what becomes of them."""
+"""Sends a leader's orders to the agents of its ranks and tracks their replies."""
 
 import dataclasses
 import itertools
@@ -29,15 +29,14 @@
     from fuchsiahatch_gateway.order_pacing import OrderPacer
     from fuchsiahatch_gateway.rank_agent import RankAgent
 
-#: Time after which an order without an answer counts as unanswered.
 REPLY_TIMEOUT_MS = 300
-#: Phases in which ranks are told to copy.
+#: Phases in which PREPARE orders are sent.
 _COPYING = (Phase.COPYING, Phase.CLEARING)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Batch:
-    """One order to copy, alike but for its rank, and whom it goes to."""
+    """One PREPARE order, the same for all ranks but for the rank, and its targets."""
 
     order: Order
     change: MapChange
@@ -46,24 +45,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _DirectOrder:
-    """An order to copy that goes to its agent itself."""
+    """A PREPARE order that is sent to its agent without a relay."""
 
     request: OrderRequest
     peer: Peer
 
 
 class OrderSender:
-    """Sends orders to agents, some of them by way of others.
+    """Sends orders to agents, some of them through relaying agents.
 
     Parameters
     ----------
     group : str
     term, ranks : int
-    own : RankAgent
-        The leader's own rank, which knows how many experts a layer has.
+    local_agent : RankAgent
+        Agent of the leader's rank, which knows the number of experts per layer.
     datagrams : DatagramPort
     switch : Switch
-        Is told what became of each order.
+        Notified of the result of each order.
     pacer : OrderPacer
     """
 
@@ -106,18 +105,18 @@
         self._switch = switch
         self._pacer = pacer
         self._numbers = itertools.count(1)
-        #: Orders without an answer, by number, and until when it is waited for.
+        #: Orders without a reply and the replies' deadlines, by number.
         self._pending: dict[int, tuple[Order, int]] = {}
-        #: What other agents pass on, by its change's base: the map that all others
+        #: Orders to relay, by the base of their change: the map that all other agents
         #: know, or none.
         self._relay_batches: dict[int, _Batch] = {}
-        #: Orders to copy that wait for room on the link, by rank; a newer one of a rank
-        #: takes the place of an older one.
+        #: PREPARE orders that wait for budget on the link, by rank; a newer order
+        #: replaces an older one of its rank.
         self._queued: dict[int, _DirectOrder] = {}
         self._queued_version = 0
-        #: Version and base of what was last passed on to a rank.
+        #: Version and base of the last order that was relayed to a rank.
         self._relayed: dict[int, tuple[int, int]] = {}
-        #: Ranks whose agents lack the map that a change is told from.
+        #: Ranks whose agents lack the base of the change.
         self._missing_base: set[int] = set()
         self._full_change_version = 0
         self._full_change = MapChange(NO_BASE, 0, 0, b"")
@@ -125,16 +124,16 @@
         self._change = MapChange(NO_BASE, 0, 0, b"")
 
     def order_budget(self, now_ms: int) -> int | None:
-        """Return how many orders the link has room for now; None for any number.
+        """Return how many orders may be sent now; None if there is no limit.
 
-        Only copies are paced: passes may be held while all other orders are out.
+        Only PREPARE orders are paced: passes may be held while any other is pending.
         """
         if self._switch.phase is not Phase.COPYING or self._needs_relays(self._change):
             return None
         return self._pacer.order_budget(len(self._change.edits), now_ms)
 
     def send(self, order: Order, peer: Peer, now_ms: int) -> None:
-        """Send an order; one to copy waits for `flush`."""
+        """Send an order; a PREPARE order is queued until `flush`."""
         number = next(self._numbers)
         if order.placement is None:
             self._expect_reply(number, order, now_ms + REPLY_TIMEOUT_MS)
@@ -145,7 +144,8 @@
         order = msgspec.structs.replace(order, placement=None)
         relayed_as = (order.version, change.base)
         if self._needs_relays(change) and self._relayed.get(order.rank) != relayed_as:
-            # Once: whoever should have passed it on before may be gone.
+            # An order is relayed once: the agent that should have relayed it may be
+            # unreachable.
             self._relayed[order.rank] = relayed_as
             self._expect_reply(number, order, now_ms + RELAY_TIMEOUT_MS)
             batch = self._relay_batches.setdefault(
@@ -160,15 +160,15 @@
         self._queued[order.rank] = _DirectOrder(request, peer)
 
     def flush(self, now_ms: int) -> None:
-        """Send what other agents pass on, and the copies that the link has room for."""
+        """Send the orders to relay, and the queued ones that the budget allows."""
         self._send_relays()
         if self._switch.phase not in _COPYING:
             self._queued.clear()
         for rank, direct in tuple(self._queued.items()):
             data = encode(direct.request)
             if not self._pacer.may_send(len(data), now_ms):
-                # Orders that were passed on and are answered late go out as well: all
-                # at once they made every answer later, and no change was complete.
+                # Relayed orders with late replies are queued too. Sent all at once,
+                # they delay every reply further and no change completes.
                 return
             del self._queued[rank]
             self._pacer.spend(len(data))
@@ -185,7 +185,7 @@
         self._relay_batches.clear()
 
     def receive_reply(self, reply: OrderReply, now_ms: int) -> bool:
-        """Take in an agent's answer; return whether it was waited for."""
+        """Process an agent's reply; return whether its order was pending."""
         pending = self._pending.pop(reply.number, None)
         if pending is None or reply.term != self._term or reply.group != self._group:
             return False
@@ -197,30 +197,31 @@
         return True
 
     def expire_replies(self, now_ms: int) -> None:
-        """Count orders as unanswered whose answers were waited for long enough."""
-        late = [
+        """Report pending orders whose reply deadline has passed as UNKNOWN."""
+        expired = [
             number
             for number, (_, deadline_ms) in self._pending.items()
             if now_ms > deadline_ms
         ]
-        for number in late:
+        for number in expired:
             order, _ = self._pending.pop(number)
             self._switch.answered(order, OrderResult.UNKNOWN, now_ms)
 
     def _expect_reply(self, number: int, order: Order, deadline_ms: int) -> None:
-        """Note that an order goes out, and until when its answer is waited for."""
+        """Note that an order is being sent, and the deadline of its reply."""
         self._pending[number] = (order, deadline_ms)
 
     def _needs_relays(self, change: MapChange) -> bool:
-        """Return whether a change told to all ranks would fill the link."""
+        """Return whether a change sent to all ranks would fill the link."""
         return self._pacer.needs_relays(self._ranks, len(change.edits))
 
     def _change_for(self, order: Order) -> MapChange:
-        """Return an order's map as its difference from the one in force."""
+        """Return an order's map as a change from the map in force."""
         assert order.placement is not None
         if order.rank in self._missing_base:
-            # Agents that have started anew know no map. Told each of them by the
-            # leader itself, whole maps filled its link, and no change was complete.
+            # Agents that have restarted know no map. The full change goes through
+            # relays as well: sent by the leader to each of them, full maps fill its
+            # link and no change completes.
             return self._full_change_for(order)
         if self._change_version != order.version:
             self._change_version = order.version
@@ -228,7 +229,7 @@
         return self._change
 
     def _full_change_for(self, order: Order) -> MapChange:
-        """Return an order's map as a whole, made once for each version."""
+        """Return an order's map as a change without a base, cached by version."""
         assert order.placement is not None
         if self._full_change_version != order.version:
             self._full_change_version = order.version
@@ -236,17 +237,17 @@
         return self._full_change
 
     def _change_base(self) -> tuple[int, Placement | None]:
-        """Return the map in force, if the agents know it as this leader does."""
+        """Return the map in force if the agents know it as this leader does."""
         in_force = self._switch.map_in_force
         if in_force is None:
             return NO_BASE, None
-        base, known = in_force
+        base, placement = in_force
         if self._local_agent.known_map(base, self._ranks) is None:
-            # This agent has started anew, and so may have all others: asked one by one
-            # whether they know the map, they are told whole ones one by one.
+            # This agent has restarted, and so may have all others. Each of them would
+            # first reply that it lacks the base, and then get a full map by itself.
             return NO_BASE, None
-        if base == 0 and known != first_map(
-            len(known), self._local_agent.experts_per_layer, self._ranks
+        if base == 0 and placement != first_map(
+            len(placement), self._local_agent.experts_per_layer, self._ranks
         ):
             return NO_BASE, None
-        return base, known
+        return base, placement
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -40,7 +40,7 @@
         )
 
     def clear(self, now_ms, ranks=range(1, RANKS), placement=MAP):
-        """Return what goes out as all ranks are told to prepare a newer version."""
+        """Return what is sent when the ranks are ordered to prepare a newer version."""
         self.port.sent.clear()
         for rank in ranks:
             order = Order(rank, OrderKind.PREPARE, 1, version=9, placement=placement)
@@ -51,13 +51,13 @@
             for message, _ in self.port.sent
         ]
 
-    def test_a_map_that_all_know_is_told_in_few_bytes(self):
+    def test_a_map_that_all_agents_know_takes_few_bytes(self):
         sent = self.clear(0)
         self.assertLess(sum(map(len, sent)), 10_000)
 
-    def test_a_map_that_nobody_knows_does_not_fill_the_link(self):
-        # Told to each of 62 ranks by the leader itself, 2.2 KB take 0.28 s of its
-        # link of 4 Mbit/s, and are sent again before they have arrived.
+    def test_a_map_that_no_agent_knows_does_not_fill_the_link(self):
+        # Sent by the leader to each of 62 ranks, 2.2 KB take 0.28 s of its link of
+        # 4 Mbit/s and are sent again before they have arrived.
         self.switch.map_in_force = None
         sent = self.clear(0)
         self.assertLess(sum(map(len, sent)), 0.1 * LINK_BYTES_PER_S)
@@ -66,11 +66,11 @@
         self.assertEqual({message.change.base for message in relays}, {NO_BASE})
         self.assertEqual(apply_change(relays[0].change), MAP)
 
-    def test_agents_that_have_started_anew_are_told_whole_maps_by_others(self):
-        # All requests of 63 ranks are late for the rest of the day behind a kill of
-        # all processes: agents that have started anew know no map, each is told the
-        # whole one by the leader itself, its link is full, and each change is given up
-        # behind two seconds in which not all ranks have copied.
+    def test_restarted_agents_get_full_maps_through_relays(self):
+        # After a kill of all processes, all requests of 63 ranks are late for the rest
+        # of the day: restarted agents know no map, the leader sends each of them the
+        # full one, its link is full, and each change is abandoned after two seconds in
+        # which not all ranks have copied.
         self.switch.phase = Phase.COPYING
         self.clear(0)
         for message, _ in self.port.sent:
@@ -87,9 +87,9 @@
         told = {target.rank for message in relays for target in message.targets}
         self.assertEqual(told, set(range(1, RANKS)))
 
-    def test_a_leader_that_has_started_anew_tells_whole_maps_at_once(self):
-        # Behind a kill of all processes the first change of 72 ranks took 1.6 s: each
-        # agent was asked whether it knew the map, and told the whole one by itself.
+    def test_a_restarted_leader_sends_full_maps_at_once(self):
+        # After a kill of all processes the first change of 72 ranks takes 1.6 s: each
+        # agent first replies that it lacks the base, and then gets a full map directly.
         self.switch.phase = Phase.COPYING
         self.own.known_map = lambda version, ranks: None
         sent = self.clear(0)
@@ -99,7 +99,7 @@
         told = {target.rank for message in relays for target in message.targets}
         self.assertEqual(told, set(range(1, RANKS)))
 
-    def test_some_that_lack_the_map_do_not_change_what_others_are_told(self):
+    def test_agents_without_the_base_do_not_change_the_orders_of_others(self):
         self.clear(0)
         lacking = self.port.sent[0][0].targets[0]
         reply = OrderReply(
@@ -121,10 +121,10 @@
         self.assertEqual(bases.pop(lacking.rank), NO_BASE)
         self.assertEqual(set(bases.values()), {7})
 
-    def test_orders_that_go_out_directly_are_paced(self):
-        # Behind a kill of all processes no change is complete for ten seconds: orders
-        # that were passed on are answered late, each goes out directly as well, 2.2 KB
-        # to each of 62 ranks, and what is late for that goes out once more.
+    def test_direct_orders_are_paced(self):
+        # After a kill of all processes no change completes for ten seconds: replies to
+        # relayed orders are late, so each order is sent directly too, 2.2 KB to each of
+        # 62 ranks, and those whose replies are late again are sent once more.
         self.switch.map_in_force = None
         self.clear(0)
         sent = 0
@@ -134,7 +134,7 @@
         self.assertLess(sent, 0.6 * LINK_BYTES_PER_S)
         self.assertGreater(sent, 0.4 * LINK_BYTES_PER_S)
 
-    def test_what_still_waits_is_dropped_with_its_change(self):
+    def test_queued_orders_are_dropped_with_their_change(self):
         self.switch.map_in_force = None
         self.clear(0)
         self.sender.expire_replies(200)
@@ -144,7 +144,7 @@
         self.sender.flush(2_000)
         self.assertEqual(self.port.sent, [])
 
-    def test_what_is_not_answered_in_time_goes_out_directly(self):
+    def test_a_relayed_order_without_a_reply_is_sent_directly(self):
         self.switch.map_in_force = None
         self.clear(0)
         numbers = [
@@ -161,7 +161,7 @@
         (_,) = self.clear(RELAY_TIMEOUT_MS + 1, [5])
         self.assertIsInstance(self.port.sent[0][0], bytes)
 
-    def test_an_answer_that_nobody_waits_for_counts_for_nothing(self):
+    def test_an_unexpected_reply_is_ignored(self):
         reply = OrderReply("g", 40, 1, OrderResult.BEGUN)
         self.assertFalse(self.sender.receive_reply(reply, 10))
         self.assertEqual(self.answered, [])
