--- a/packages/gateway/src/fuchsiahatch_gateway/plan_readiness.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/plan_readiness.py
@@ -1,13 +1,12 @@
-"""Why a leader plans no change of its group's map, told where that lasts."""
+"""Logs what a leader lacks to plan changes of its group's map, if that lasts."""
 
 import enum
 
 from fuchsiahatch_core.events import Event, log_event
 
-#: Time for which something is lacking before a line says so: longer than a change of
-#: the map takes, for which nothing else is planned.
+#: Time for which something is lacking before it is logged. It is longer than a change
+#: of the map takes, during which nothing else is planned.
 LACK_LOG_DELAY_MS = 1_000
-#: Pause between two such lines.
 LACK_LOG_INTERVAL_MS = 2_000
 
 
@@ -19,9 +18,9 @@
     ENGINE
         The figures of the group's engines.
     CHOICES
-        Choices of experts, as the ranks' agents tell them.
+        Expert choices, as the ranks' agents report them.
     SETTLED_MAP
-        A group that is open, with a map that is known and no change under way.
+        An open group with a known map and no change in progress.
     """
 
     ENGINE = "figures of the engines"
@@ -30,7 +29,7 @@
 
 
 class PlanReadiness:
-    """Keeps note of what a leader lacks, and since when.
+    """Tracks what a leader lacks, and since when.
 
     Parameters
     ----------
@@ -46,10 +45,10 @@
         self._logged_ms: int | None = None
 
     def note(self, lack: Lack | None, now_ms: int) -> None:
-        """Take in what is lacking now; None when a plan could be made.
+        """Record what is lacking now; None if a plan could be made.
 
-        Guards against a leader that leads and changes nothing for the rest of its
-        term: without a line, it looks like one whose map pays.
+        Without a log line, a leader that can plan nothing for the rest of its term
+        looks like one whose map needs no change.
         """
         if lack is not self._lack:
             self._lack, self._since_ms = lack, now_ms
--- a/tests/gateway/test_plan_readiness.py
+++ b/tests/gateway/test_plan_readiness.py
@@ -7,10 +7,10 @@
 
 
 class TestPlanReadiness(unittest.TestCase):
-    """A leader that plans nothing for good says so, and for want of what.
+    """A leader that can plan nothing logs so, and what it lacks.
 
-    On call, a group that stays on its first map looked like one whose map pays: its
-    leader wrote no line for the rest of the day.
+    Otherwise a group that stays on its first map looks to operators like one whose map
+    needs no change: its leader logs nothing for the rest of the day.
     """
 
     def note(self, lacks):
@@ -23,15 +23,15 @@
             for call in log.call_args_list
         ]
 
-    def test_what_lasts_is_told_at_a_bounded_rate(self):
+    def test_a_lasting_lack_is_logged_at_a_bounded_rate(self):
         lacks = [(now_ms, Lack.ENGINE) for now_ms in range(0, 5_001, 20)]
-        told = [
+        logged = [
             (Event.PLANS_LACK, "figures of the engines", lacking_ms)
             for lacking_ms in (1_000, 3_000, 5_000)
         ]
-        self.assertEqual(self.note(lacks), told)
+        self.assertEqual(self.note(lacks), logged)
 
-    def test_a_change_under_way_is_no_lack(self):
+    def test_a_change_in_progress_is_not_logged(self):
         lacks = [
             (now_ms, Lack.SETTLED_MAP if now_ms % 1_000 else None)
             for now_ms in range(0, 5_000, 100)
