--- a/packages/gateway/src/fuchsiahatch_gateway/plan_searches.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/plan_searches.py
@@ -1,4 +1,4 @@
-"""The leader's part that searches for plans of its group's map, bit by bit."""
+"""Incremental search of a leader for plans of its group's map."""
 
 import asyncio
 import typing as t
@@ -16,7 +16,7 @@
     from fuchsiahatch_experts.switching import Switch
     from fuchsiahatch_gateway.datagrams import RankState
 
-#: Searches for a copy, of 0.1 ms each, that a plan makes before others may work.
+#: Steps of a search, of 0.1 ms each, before it yields to the event loop.
 SEARCH_STEPS_PER_TURN = 20
 
 
@@ -30,16 +30,16 @@
     switch : Switch
     clock : Clock
     on_plan : callable
-        Is given a plan for the map in force, and what is known of its passes; returns
-        whether it is made.
+        Called with a plan for the map in force and the data on its passes; returns
+        whether the switch to it was started.
 
     Attributes
     ----------
     engine : Engine or None
         The engines' figures, once they are known.
     gap_ms : int
-        Shortest pause that the group's routes allow between two events; 0 when there
-        is none or it isn't known.
+        Shortest gap that the group's routes allow between two events; 0 if there is
+        none or it is unknown.
     """
 
     __slots__ = (
@@ -79,11 +79,11 @@
         self.gap_ms = 0
 
     def set_engine(self, engine: "Engine", gap_ms: int) -> None:
-        """Take in the engines' figures, or that they have changed."""
+        """Set or update the engines' figures."""
         if (engine, gap_ms) == (self.engine, self.gap_ms):
             return
         if engine != self.engine:
-            # What is known of the demand is of another layout.
+            # The recorded demand belongs to another layout.
             self._planner = None
         self.engine, self.gap_ms = engine, gap_ms
         log_event(
@@ -95,7 +95,7 @@
         )
 
     def count(self, state: "RankState", now_ms: int) -> None:
-        """Take in a rank's pace and what its requests have chosen of late."""
+        """Record a rank's pace and the recent expert choices of its requests."""
         self._paces[state.report.rank] = state.pace
         engine = self.engine
         if engine is None or not state.choices:
@@ -108,18 +108,18 @@
             log_event(Event.DATAGRAM_DROPPED, detail=f"choices: {fault}")
 
     def work(self, pass_ms: float, max_copies: int, now_ms: int) -> None:
-        """Begin to search for a change of the map, if one may be worth it now.
+        """Start a search for a change of the map, if one may pay off now.
 
         Parameters
         ----------
         pass_ms : float
-            As measured of late.
-        most_copies : int
-            Copies of a rank that a change's orders have room for.
+            Recent mean time of a pass; 0 while the group is idle.
+        max_copies : int
+            Most copies per rank that the orders of one change may have.
         now_ms : int
         """
         lack = self._find_lack()
-        # A group without requests makes no passes, and needs no other map.
+        # A group without requests runs no passes and needs no other map.
         self._readiness.note(lack if pass_ms else None, now_ms)
         planner = self._planner
         if lack is not None or planner is None:
@@ -141,7 +141,7 @@
             self._tasks.begin(self._search(search, version, passes))
 
     def _find_lack(self) -> Lack | None:
-        """Return what no plan can be made without, if anything is lacking."""
+        """Return what is lacking to make a plan, if anything."""
         if self.engine is None:
             return Lack.ENGINE
         if self._planner is None:
@@ -149,11 +149,11 @@
         return None if self._switch.ready else Lack.SETTLED_MAP
 
     def stop(self) -> None:
-        """Search no more."""
+        """Cancel the search in progress."""
         self._tasks.cancel()
 
     def _make_planner(self, engine: "Engine") -> "MapPlanner":
-        # Only a leader needs it, and numpy takes its memory and its time.
+        # Imported here as only a leader needs it: numpy costs memory and import time.
         from fuchsiahatch_experts.planning import ExpertLayout, MapPlanner
 
         layout = ExpertLayout(
@@ -170,7 +170,7 @@
     async def _search(
         self, search: "PlanSearch", version: int, passes: "Passes"
     ) -> None:
-        """Search for a plan bit by bit, reading what comes in between."""
+        """Search for a plan in steps; the loop reads datagrams in between."""
         try:
             result: list[Plan | None] = []
             while not result:
@@ -202,7 +202,7 @@
 
 
 def _advance_search(search: "PlanSearch") -> "list[Plan | None]":
-    """Go on with a search for a plan; return what it found, once it has ended."""
+    """Advance a search by some steps; return its result in a list once it has ended."""
     try:
         for _ in range(SEARCH_STEPS_PER_TURN):
             next(search)
