--- a/packages/gateway/src/fuchsiahatch_gateway/reporting.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/reporting.py
@@ -1,4 +1,4 @@
-"""What an agent tells of its engine, and how often: its load, its experts' choices."""
+"""What an agent reports of its engine, and how often: load and expert choices."""
 
 import enum
 import typing as t
@@ -19,35 +19,46 @@
     from fuchsiahatch_core.clock import Clock
     from fuchsiahatch_gateway.rank_agent import RankAgent
 
-#: Share of the leader's link that all ranks' choices may take together. At 63 ranks of
-#: 2 KB each 100 ms they were three times what a link of 4 Mbit/s carries; nothing that
-#: renews the lease got through. Orders may take half of the link besides. At 32 ranks
-#: of 1.1 KB a rank told of its choices each 200 ms; with a share of 0.15, each 470 ms,
-#: changes of map followed one another in 0.6 s behind a shift of demand, not in 0.44.
+#: Share of the leader's link for the choices of all ranks together; orders may take
+#: half of the link besides. Without a limit, 63 ranks sending 2 KB each 100 ms exceed a
+#: link of 4 Mbit/s three times over, and renewals of the lease don't get through. With
+#: this share, 32 ranks of 1.1 KB report each 200 ms and map changes follow one another
+#: in 0.44 s after a shift of demand; with 0.15, each 470 ms and in 0.6 s.
 CHOICES_LINK_SHARE = 0.35
-#: Time over which choices are counted where a rank tells of them seldom. A rank of 96
-#: told each 1.8 s what had been chosen since it last did: maps were made for a demand
-#: that was 0.9 s old in the mean, and demand moves each three seconds.
+#: Time over which choices are counted if a rank reports them rarely. A rank of 96
+#: reports each 1.8 s. Counted since the last report, the choices would be 0.9 s old on
+#: average, while demand shifts every three seconds.
 CHOICES_WINDOW_MS = 200
-#: States in which a rank tells which experts it holds, behind a change of its map or of
-#: its leader: one or two may be lost. They are two fifths of a state's 126 bytes, and
-#: the leader of 96 ranks takes in 960 states a second.
+#: States with the experts that a rank holds, after a change of its map or leader: one
+#: or two may be lost. Experts are two fifths of a state's 126 bytes, and the leader of
+#: 96 ranks receives 960 states a second.
 INITIAL_FULL_STATES = 3
-#: One state in so many tells of it anyway: each second.
+#: One state in this many includes them anyway: one each second.
 FULL_STATE_PERIOD = 10
-#: Pause between two reports of the load, for each entry: 360 ms with 40 of them, where
-#: 63 agents send 7,000 a second instead of 25,200. With 11 or fewer each report goes.
+#: Interval between two load reports, per entry. With 40 entries it is 360 ms, and 63
+#: agents send 7,000 reports a second instead of 25,200. With 11 or fewer entries every
+#: report is sent.
 LOAD_INTERVAL_MS_PER_ENTRY = 9
-#: Places left below which a change of the load is told without that pause: only there
-#: does an old belief send requests into a queue. Of 160 streams a second on 64 engines
-#: of 5 places 0.023 waited 250 ms and more for a place, with 4.4 reports a second of an
-#: engine, as with 10 (0.025); 0.087 with 3.4 behind the pause alone (played, 33
-#: entries, two seeds).
+#: Free slots up to which a change of the load is reported without that interval: only
+#: near the limit does a stale load send requests into a queue. In simulation (33
+#: entries, 64 engines of 5 slots, 160 streams a second, two seeds) 0.023 of the streams
+#: wait 250 ms or more for a slot, at 4.4 reports a second per engine; 0.025 at 10
+#: reports a second; 0.087 by the interval alone, at 3.4.
 NEARLY_FULL_PLACES = 1
 
 
 class ChoicesAction(enum.Enum):
-    """What to do about a rank's choices with its next report."""
+    """What to do about a rank's choices with its next report.
+
+    Attributes
+    ----------
+    REST
+        Nothing.
+    BEGIN
+        Restart the count: earlier choices aren't sent.
+    TELL
+        Send the choices counted since it began, or since they were last sent.
+    """
 
     REST = "rest"
     BEGIN = "begin"
@@ -55,7 +66,7 @@
 
 
 class Reporter:
-    """Tells entries of an engine's load, and when its leader is due to hear more.
+    """Reports an engine's load to entries and decides what its leader is sent.
 
     Parameters
     ----------
@@ -63,7 +74,7 @@
     datagrams : DatagramPort
     clock : Clock
     link_bytes_per_s : float
-        Of an agent's host, and so of its leader's.
+        Bandwidth of this agent's host; its leader's is taken to be the same.
     """
 
     __slots__ = (
@@ -99,13 +110,13 @@
         self._load_sent_ms = 0
         self._reported_load = 0
         self._reported_open = False
-        #: Most requests that ran at once: the engine's places, as far as was seen.
+        #: Most requests seen running at once, as an estimate of the engine's slots.
         self._max_running = 0
 
     def choices_action(self) -> ChoicesAction:
-        """Return whether to tell the leader of this rank's choices now.
+        """Return what to do about this rank's choices now.
 
-        Where that is due seldom, they are counted from shortly before it.
+        If they are sent rarely, they are counted only shortly before.
         """
         interval_ms = self._choices_interval_ms
         now_ms = self._clock.now_ms()
@@ -133,11 +144,11 @@
         return report.ranks * self._rank.choices_bytes / bytes_per_ms
 
     def trim(self, state: RankState, leader_term: int) -> RankState:
-        """Leave out what the leader of a term has been told of a rank already."""
+        """Leave out the experts if the leader of a term has received them already."""
         report = state.report
-        told = (leader_term, report.epoch, report.map_version)
-        if told != self._reported_map:
-            self._reported_map, self._states_sent = told, 0
+        map_key = (leader_term, report.epoch, report.map_version)
+        if map_key != self._reported_map:
+            self._reported_map, self._states_sent = map_key, 0
         if report.experts is None:
             return state
         self._states_sent += 1
@@ -147,17 +158,17 @@
         return structs.replace(state, report=structs.replace(report, experts=None))
 
     def send_load(self, entries: t.Collection[Peer]) -> None:
-        """Tell the entries of the engine's load, if they are due to hear of it."""
+        """Report the engine's load to the entries, if a report is due."""
         report, now_ms = self._rank.last_report, self._clock.now_ms()
         if report is None:
             return
         self._max_running = max(self._max_running, report.running)
         interval_ms = LOAD_INTERVAL_MS_PER_ENTRY * len(entries)
         due = now_ms - self._load_sent_ms >= interval_ms
-        turned = report.open is not self._reported_open
+        open_changed = report.open is not self._reported_open
         if (
             not due
-            and not turned
+            and not open_changed
             and not self._is_significant(report.queued + report.running)
         ):
             return
@@ -169,7 +180,7 @@
             self._datagrams.send_encoded(data, peer)
 
     def send_load_to(self, entry: Peer) -> None:
-        """Tell an entry that has asked of the engine's load."""
+        """Report the engine's load to one entry that has asked for it."""
         if self._rank.last_report is not None:
             self._datagrams.send_encoded(
                 self._encode_load(self._rank.last_report), entry
@@ -189,7 +200,7 @@
         return encode(load)
 
     def _is_significant(self, load: int) -> bool:
-        """Return whether a load differs from what was told, near the last place."""
+        """Return whether a load near the limit differs from the one last reported."""
         nearly_full = self._max_running - NEARLY_FULL_PLACES
         return (
             load != self._reported_load
