--- a/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
@@ -1,4 +1,4 @@
-"""An agent's part in takeovers: its own as a standby, and those that it obeys."""
+"""Takeovers of an agent: those it makes as a standby, and those it accepts."""
 
 import typing as t
 
@@ -19,25 +19,26 @@
 
 
 class Takeovers:
-    """Takes over from a leader that is silent, and obeys others that do.
+    """Takes over from a silent leader, and accepts takeovers by other standbys.
 
     Parameters
     ----------
     rank : RankAgent
     peer : Peer
-        Where this agent takes datagrams.
+        Where this agent receives datagrams.
     clock : Clock
     make_leader : callable
-        Makes who ends the leader's switch, of its notice, a report and a term.
-    tell_state : callable
-        Tells this rank's state to its leader at once.
+        Makes the leader that ends the switch, from the silent leader's notice, an
+        engine's report and a term.
+    report_state : callable
+        Reports this rank's state to its leader at once.
 
     Attributes
     ----------
     leader : GroupLeader or None
-        Who ends a silent leader's switch, while this agent does so.
+        Ends a silent leader's switch, while this agent has taken over.
     records : dict of str to LeaderRecord
-        Who has taken over last, by group.
+        The last takeover, by group.
     """
 
     __slots__ = (
@@ -71,13 +72,13 @@
         self.records: dict[str, LeaderRecord] = {}
 
     def note(self, notice: StandbyNotice) -> None:
-        """Take in the word of a leader whose standby this agent is."""
+        """Process a notice of the leader whose standby this agent is."""
         self._standby.note(notice, self._active_clock.active_ms)
         if notice.asks_state:
             self._report_state()
 
     def accept(self, notice: TakeoverNotice, peer: Peer) -> None:
-        """Obey a standby, and tell it of this rank at once: passes are held."""
+        """Accept a takeover; passes are held, so report this rank's state at once."""
         report = self._rank.last_report
         if (
             report is None
@@ -90,7 +91,7 @@
         self._report_state()
 
     async def work(self) -> None:
-        """Take over where passes are held here and the leader is silent."""
+        """Take over if passes are held here and the leader is silent."""
         self._active_clock.update(self._clock.now_ms())
         if self.leader is not None:
             self._continue(self.leader)
