--- a/packages/gateway/src/fuchsiahatch_gateway/leadership.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/leadership.py
@@ -1,4 +1,4 @@
-"""Who leads a rank group: a key in the store under a short lease."""
+"""Leader election of a rank group, by a key in the store under a short lease."""
 
 import asyncio
 import dataclasses
@@ -26,20 +26,22 @@
     from fuchsiahatch_adapter.store import Item
     from fuchsiahatch_core.clock import Clock
 
-#: Time for which a group must have been without a leader before a rank tries, for
-#: each number that its rank is: the ranks don't all call the store at once.
+#: Delay of a rank's attempt to win after its group has lost its leader, times the rank:
+#: the ranks don't all call the store at once.
 ELECTION_STAGGER_MS = 40
-#: Pause behind a try to win. An agent whose watch is late knows of no leader, or of one
-#: that is gone, for seconds; without it eight of them made some hundred calls a second.
+#: Interval between attempts to win. An agent whose watch is late knows no leader, or a
+#: former one, for seconds; without the interval eight of them make some hundred calls a
+#: second.
 ELECTION_RETRY_INTERVAL_MS = 300
-#: Revisions by which a store that comes back from an older copy may fall back, at the
-#: most: a minute of 3,200 writes a second. Each era's terms begin behind those of the
-#: era before it, as long as no more are lost.
+#: Most revisions that a store may lose when it is restored from an older copy: a minute
+#: at 3,200 writes a second. As long as no more are lost, the terms of each era are
+#: higher than those of the era before.
 REVISIONS_PER_ERA = 200_000
-#: Eras behind which terms begin anew, so that versions of maps, which are made of them,
-#: stay below 2^63 whatever number the store begins with.
+#: Eras after which terms wrap around, so that map versions, which are derived from
+#: terms, stay below 2^63 whatever era the store begins with.
 ERA_MODULUS = 4_096
-#: Time kept back from the lease, as clocks and answers are late.
+#: Time before the lease's end at which it counts as expired, as clocks and answers may
+#: be late.
 LEASE_MARGIN_MS = 200
 
 
@@ -51,7 +53,7 @@
     ----------
     group : str
     term : int
-        Of `term_of`; each later leader's is higher.
+        As `term_of` computes it; each later leader's is higher.
     peer : Peer
     """
 
@@ -62,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _LeaderDocument:
-    """A leader's key as it is written; the era is the store's as it was made."""
+    """Value of a leader's key; the era is the store's when the key was created."""
 
     node: str
     peer: Peer
@@ -70,13 +72,14 @@
 
 
 def term_of(era: int, revision: int) -> int:
-    """Return the term of a leader whose key was made at a revision of an era.
+    """Return the term of a leader whose key was created at a revision of an era.
 
-    The odd term behind it is its standby's, which needs no key to take over.
+    The term is even. The odd one after it is its standby's, which needs no key to take
+    over.
 
-    Guards against a store that comes back from an older copy and gives revisions out
-    again: a later leader's term would be lower, and no agent would obey it, or the same
-    as an earlier one's, and two leaders would switch maps under one term.
+    The era is part of the term as a store that is restored from an older copy issues
+    revisions again. By revisions alone, a later leader's term could be lower, and no
+    agent would accept it, or equal, and two leaders would switch maps under one term.
     """
     return 2 * (era % ERA_MODULUS * REVISIONS_PER_ERA + revision)
 
@@ -87,7 +90,7 @@
 
 
 def decode_leader(group: str, value: bytes) -> tuple[Peer, int]:
-    """Decode where a group's leader takes datagrams, and the era of its key.
+    """Decode where a group's leader receives datagrams, and the era of its key.
 
     Raises
     ------
@@ -101,7 +104,7 @@
 
 
 class Leadership:
-    """Part of one agent in the elections of its group.
+    """Takes part in the elections of a group for one agent.
 
     Parameters
     ----------
@@ -113,10 +116,10 @@
     Attributes
     ----------
     term : int
-    unanswered : bool
-        Whether the last renewal has no answer, so that nobody knows of the lease.
-    found : LeaderRecord or None
-        Another agent that leads, where a try to win showed one.
+    renewal_unanswered : bool
+        Whether the last renewal has no answer, so that the lease's state is unknown.
+    found_leader : LeaderRecord or None
+        Another agent that leads, if the last attempt to win found one.
     settled_era : SettledEra
     """
 
@@ -146,7 +149,7 @@
         self._clock = clock
         self._key = ""
         self._lease = 0
-        #: Of the store as the lease was made.
+        #: The store's era when the lease was granted.
         self._era = 0
         self._valid_until_ms = 0
         self.settled_era = SettledEra(store, clock)
@@ -158,28 +161,28 @@
 
     @property
     def holds_lease(self) -> bool:
-        """Whether this agent leads by its own clock, which counts suspended time."""
+        """Whether the lease is valid by the local clock, which counts suspensions."""
         return self._clock.now_ms() < self._valid_until_ms
 
     @property
     def is_sole_leader(self) -> bool:
-        """Whether no earlier leader can still believe that it has its lease.
+        """Whether no earlier leader can still believe that it holds its lease.
 
-        Guards against two leaders that both speak with engines, which refuse nobody.
-        Usually the lease of one has ended before another can win. A store that came
-        back from an older copy has forgotten it.
+        Engines refuse nobody, so two leaders must not both order them. Usually the
+        lease of one has expired before another can win, but a store that was restored
+        from an older copy has lost it.
         """
         return self.holds_lease and self.settled_era.settled
 
     def note_restored(self) -> None:
-        """Lead no more: the store came back from an older copy, without the lease."""
+        """Stop leading: the store was restored from a copy without the lease."""
         self.settled_era.look()
         self.resign()
 
     async def try_win(
         self, group: str, rank: int, known_leader: LeaderRecord | None
     ) -> bool:
-        """Try to become leader if there is none; return whether that worked."""
+        """Try to become leader if there is none; return whether it succeeded."""
         now_ms = self._clock.now_ms()
         if known_leader is not None and known_leader.peer != self._peer:
             self._leaderless_since_ms = None
@@ -201,7 +204,7 @@
             return False
 
     async def renew_forever(self) -> None:
-        """Renew the lease until the store says that it has ended, or `resign`."""
+        """Renew the lease until the store says that it has ended, or until `resign`."""
         lease = self._lease
         while lease == self._lease:
             await asyncio.sleep(LEADER_RENEWAL_MS / 1000)
@@ -221,17 +224,17 @@
                 self._valid_until_ms = began_ms + LEADER_TTL_MS - LEASE_MARGIN_MS
 
     def resign(self) -> None:
-        """Lead no more, and let the lease run out."""
+        """Stop leading, and let the lease expire."""
         self._valid_until_ms = 0
         self._lease = 0
         self.renewal_unanswered = False
 
     async def release(self) -> None:
-        """End the lease, so that another agent may lead at once."""
+        """Stop leading and revoke the lease, so that another agent may lead at once."""
         lease = self._lease
         self.resign()
         try:
-            # Of another era it may be somebody else's by now.
+            # In another era the lease's number may have been granted to another agent.
             if lease and self._era == self._store.era:
                 await self._store.revoke(lease)
         except PlatformError as fault:
@@ -254,9 +257,10 @@
             if leader is not None and leader.peer != self._peer:
                 self.found_leader = leader
                 return False
-            # An earlier life of this agent led, or nobody can read who does. The key
-            # must go first: the term is the revision at which it was made. Another
-            # agent's, made meanwhile, must stay: its owner would go on to lead as well.
+            # An earlier incarnation of this agent led, or the leader is unreadable. The
+            # key must be removed first, as the term comes from the revision at which it
+            # is created. A key that another agent created meanwhile must stay: its
+            # owner would go on leading as well.
             await self._store.remove(self._key, item.revision)
         began_ms = self._clock.now_ms()
         lease = await self._store.grant(LEADER_TTL_MS)
@@ -264,7 +268,7 @@
         value = orjson.dumps(document)
         revision = await self._store.put(self._key, value, lease, expected=0)
         if self._store.era != era:
-            # The revision is of another era than the key says, or the lease is gone.
+            # The revision is of another era than the key says, or the lease is lost.
             raise StoreRestoredError(f"while {group} elected a leader")
         self._lease = lease
         self._era = era
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -35,7 +35,7 @@
 
 
 class TestLeadership(unittest.TestCase):
-    def test_one_wins_and_terms_rise(self):
+    def test_one_candidate_wins_and_terms_rise(self):
         async def elect():
             async with Election() as election:
                 self.assertTrue(await election.one.try_win("g", 0, None))
@@ -50,7 +50,7 @@
         first, second = run(elect())
         self.assertGreater(second, first)
 
-    def test_an_earlier_life_of_ones_own_is_followed_at_once(self):
+    def test_an_agent_replaces_its_earlier_incarnation_at_once(self):
         async def elect():
             async with Election() as election:
                 await election.one.try_win("g", 0, None)
@@ -63,9 +63,9 @@
         first, second = run(elect())
         self.assertGreater(second, first)
 
-    def test_another_leaders_key_is_not_taken_away(self):
-        # Two leaders order one group: an agent that had just started deleted a key
-        # that it took for its own earlier life's, and that was another agent's.
+    def test_another_leaders_key_is_not_removed(self):
+        # An agent that has just started must not delete another agent's key as that of
+        # its earlier incarnation: two leaders would order one group.
         async def elect():
             async with Election() as election:
                 await election.other.try_win("g", 0, None)
@@ -77,16 +77,16 @@
 
         self.assertEqual(run(elect()), [KEY])
 
-    def test_an_agent_whose_watch_is_late_calls_the_store_seldom(self):
-        # All agents and entries are refused by the store: the watches of eight agents
-        # were late, and each of them tried to win fifty times a second.
+    def test_an_agent_whose_watch_is_late_rarely_calls_the_store(self):
+        # Eight agents with late watches that each try to win fifty times a second make
+        # the store refuse the calls of all agents and entries.
         async def elect():
             async with Election() as election:
                 await election.other.try_win("g", 0, None)
                 before = len(election.store.calls)
-                gone = LeaderRecord("g", 1, ("10.0.0.1", 7))
+                former = LeaderRecord("g", 1, ("10.0.0.1", 7))
                 for _ in range(50):
-                    await election.one.try_win("g", 0, gone)
+                    await election.one.try_win("g", 0, former)
                     await asyncio.sleep(0.01)
                 return len(election.store.calls) - before, election.one.found_leader
 
@@ -94,7 +94,7 @@
         self.assertLessEqual(calls, 4)
         self.assertEqual(found.peer, ("10.0.0.2", 7))
 
-    def test_a_lease_that_is_not_renewed_ends_by_the_owners_own_clock(self):
+    def test_a_lease_that_is_not_renewed_ends_by_its_holders_clock(self):
         async def elect():
             async with Election() as election:
                 await election.one.try_win("g", 0, None)
