--- a/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
@@ -1,4 +1,4 @@
-"""One rank of a group: its state for the leader, and the leader's orders to it."""
+"""One rank of a group: reports its state and applies orders to its engine."""
 
 import asyncio
 import random
@@ -24,47 +24,46 @@
     from fuchsiahatch_adapter.upstreams import EngineReport
     from fuchsiahatch_experts.rank_orders import Placement
 
-#: How often a rank that copies, or is armed, is asked whether it is done, and how often
-#: at most. The slowest of all ranks decides when a switch can go on: waiting for the
-#: usual report, each 100 ms, cost nearly that much for a copy and as much for an arm.
+#: Interval and limit of polls of a rank that is copying or armed. The slowest rank
+#: decides when a switch can proceed: waiting for the regular report, each 100 ms,
+#: delays a switch by nearly that much for the copy and as much for the arming.
 EFFECT_POLL_INTERVAL_MS = 15
 MAX_EFFECT_POLLS = 60
-#: Share of the last copy's time for which the next one is not asked after: copies take
-#: much the same time, and each question costs some 1 ms of processor time.
+#: Share of the last copy's duration after which the next copy is polled: copies take
+#: about the same time, and each poll costs some 1 ms of processor time.
 COPY_WAIT_SHARE = 0.75
-#: Time over which passes are counted for one figure, and that figure's weight in the
-#: running mean.
+#: Time over which passes are counted for one sample of the pass time, and the weight of
+#: a sample in the moving mean.
 PASS_WINDOW_MS = 200
 PASS_WEIGHT = 0.5
-#: Maps that are kept as bases of changes: the one in force, the one that is prepared,
-#: and those that were given up in between.
+#: Maps kept as bases of changes: the one in force, the one being prepared, and those
+#: abandoned in between.
 MAX_KEPT_MAPS = 4
-#: Times that an order is given until there is an answer. With one try, a tenth of the
-#: answers lost held passes back for 250 ms in most switches, and every stream of the
-#: group was late (measured: half of the worth of six seconds).
+#: Attempts of an order until it is answered. With one attempt and a tenth of the
+#: answers lost, most switches hold passes for 250 ms and every stream of the group is
+#: late, which costs half of the worth of six seconds.
 MAX_ORDER_ATTEMPTS = 3
 
 
 class RankAgent:
-    """Reads the upstream on this host and gives it orders.
+    """Reads the upstream on this host and applies orders to it.
 
     Parameters
     ----------
     upstream : ModelEngine
     address : str
-        The upstream's, ``ip:port``.
+        Address of the upstream, ``ip:port``.
 
     Attributes
     ----------
     address : str
-    seen : EngineReport or None
-        The last report.
+    last_report : EngineReport or None
     term : int
         Highest term seen; orders of an older one are refused.
     pass_ms : float
-        Running mean of the time that a pass of the group takes; 0 while it is idle.
-    vouched : int
-        Newest version that was seen prepared and not committed; 0 otherwise.
+        Moving mean of the time of the group's passes; 0 while it is idle.
+    uncommitted_version : int
+        Newest version that this agent has prepared and not committed; 0 if none.
     """
 
     __slots__ = (
@@ -107,13 +106,13 @@
         self._step_sample: tuple[int, float] | None = None
 
     def note_term(self, term: int) -> None:
-        """Take no order of an older term from now on."""
+        """Refuse orders of terms older than this one from now on."""
         if term > self.term:
             log_event(Event.TERM_SEEN, term=term, before=self.term)
             self.term = term
 
     async def read_state(self, with_choices: bool = True) -> RankState:
-        """Read the upstream's report, and the choices since the last state.
+        """Read the upstream's report, and the choices since they were last read.
 
         Raises
         ------
@@ -137,7 +136,7 @@
         )
 
     async def reset_choices(self) -> None:
-        """Let the next choices that are read count from now.
+        """Restart the count of choices: the next ones read are those made after this.
 
         Raises
         ------
@@ -178,18 +177,18 @@
 
     @property
     def choices_bytes(self) -> int:
-        """Size of what was last told of this rank's choices."""
+        """Compressed size of the choices that were last read."""
         return self._choices_bytes
 
     @property
     def experts_per_layer(self) -> int:
-        """Experts of a layer; 0 before the first choices were read."""
+        """Experts per layer; 0 before the first choices were read."""
         if self._choices is None or not self._layers:
             return 0
         return len(self._choices.counts) // self._layers
 
     def _clear_engine_state(self) -> None:
-        """Forget what was read of the engine's former life: its counts began anew."""
+        """Drop what was read before the engine restarted: its counts began at zero."""
         self._choices = None
         self._experts = None
         self._experts_key = None
@@ -211,18 +210,18 @@
             (now - self._step_sample[1]) * 1000,
         )
         if not passes:
-            # A pass that is under way for longer than usual counts as it grows.
+            # A pass that takes longer than usual counts while it is still running.
             self.pass_ms = max(self.pass_ms, took_ms)
             return
         if took_ms < PASS_WINDOW_MS:
             return
         recent_ms = took_ms / passes
-        known_ms = self.pass_ms or recent_ms
-        self.pass_ms = known_ms + PASS_WEIGHT * (recent_ms - known_ms)
+        mean_ms = self.pass_ms or recent_ms
+        self.pass_ms = mean_ms + PASS_WEIGHT * (recent_ms - mean_ms)
         self._step_sample = (report.step, now)
 
     async def execute(self, request: OrderRequest) -> OrderResult | None:
-        """Carry an order out; None when it must not be."""
+        """Apply an order; return None if it has an old term."""
         if request.term < self.term:
             log_event(
                 Event.ORDER_REFUSED, term=request.term, seen=self.term, kind="old term"
@@ -236,18 +235,18 @@
         return await self.apply_order(order)
 
     def knows_base(self, request: OrderRequest) -> bool:
-        """Return whether the map is known that an order's differs from."""
+        """Return whether the base of an order's change is known."""
         change = request.change
         return change is None or self._find_base(change) is not None
 
     def known_map(self, version: int, ranks: int) -> "Placement | None":
-        """Return the map of a version, if this agent was told of it."""
+        """Return the map of a version, if this agent has received it."""
         if version == 0 and self.experts_per_layer:
             return first_map(self._layers, self.experts_per_layer, ranks)
         return self._maps.get(version)
 
     def _find_base(self, change: MapChange) -> "Placement | tuple[()] | None":
-        """Return the base of a change, an empty one for a whole map, or None."""
+        """Return a change's base, an empty one for a full map, or None if unknown."""
         if change.base == NO_BASE:
             return ()
         return self.known_map(change.base, change.ranks)
@@ -256,13 +255,13 @@
         return apply_change(change, self._find_base(change) or None)
 
     async def apply_order(self, order: Order) -> OrderResult:
-        """Give an order to the upstream, again where it gives no answer."""
+        """Apply an order to the upstream; retry it while there is no answer."""
         if order.kind is OrderKind.COMMIT:
             return self._commit(order.version)
         if order.placement is not None:
             self._keep_map(order.version, order.placement)
             if order.version != self._committed_version:
-                # An order to copy may come again, and behind the commit.
+                # A PREPARE order may arrive again, also after the commit.
                 self.uncommitted_version = max(self.uncommitted_version, order.version)
         result = OrderResult.UNKNOWN
         for failed_attempts in range(MAX_ORDER_ATTEMPTS):
@@ -285,10 +284,10 @@
         return result
 
     def _commit(self, version: int) -> OrderResult:
-        """Agree that the last rank is armed, if the switch was seen from its start.
+        """Agree that the last rank may be armed, if the version was prepared here.
 
-        An agent that has started anew meanwhile may have vouched in its former life
-        that it agreed to nothing, and whoever was told so counts on it.
+        An agent that has restarted meanwhile refuses: its earlier incarnation may have
+        reported the version as uncommitted, and whoever received that relies on it.
         """
         if self.uncommitted_version != version and self._committed_version != version:
             return OrderResult.REFUSED
@@ -297,11 +296,11 @@
 
     def _keep_map(self, version: int, placement: "Placement") -> None:
         self._maps[version] = placement
-        for known in sorted(self._maps)[:-MAX_KEPT_MAPS]:
-            del self._maps[known]
+        for old_version in sorted(self._maps)[:-MAX_KEPT_MAPS]:
+            del self._maps[old_version]
 
     async def poll_effect(self, order: Order) -> t.AsyncIterator[RankState]:
-        """Yield the rank's state behind an order, and once its effect is complete.
+        """Yield the rank's state after an order, and again once its effect is complete.
 
         Raises
         ------
@@ -326,17 +325,17 @@
                 yield state
 
     async def _read_experts(self, report: "EngineReport") -> None:
-        """Read which experts the rank holds, once for each map."""
-        wanted = (report.epoch, report.map_version)
-        if self._experts_key == wanted:
+        """Read which experts the rank holds, once per map."""
+        experts_key = (report.epoch, report.map_version)
+        if self._experts_key == experts_key:
             return
         self._experts = None
         self._experts_key = None
-        found = await self._upstream.experts()
-        if found.version == report.map_version:
-            self._experts = found.experts
-            self._experts_key = wanted
-            self._layers = len(found.experts)
+        engine_experts = await self._upstream.experts()
+        if engine_experts.version == report.map_version:
+            self._experts = engine_experts.experts
+            self._experts_key = experts_key
+            self._layers = len(engine_experts.experts)
 
     async def _read_choices(self) -> bytes:
         latest = await self._upstream.choices()
@@ -351,10 +350,12 @@
             new - old for new, old in zip(latest.counts, before.counts, strict=True)
         ]
         if min(since) < 0:
-            # The upstream has started anew: its counts began at zero.
+            # The upstream has restarted: its counts began at zero.
             return b""
         experts = len(since) // self._layers
-        rows = [since[at : at + experts] for at in range(0, len(since), experts)]
+        rows = [
+            since[start : start + experts] for start in range(0, len(since), experts)
+        ]
         drawn = b"".join(draw_evenly(row, random.random()) for row in rows)
         choices = zlib.compress(drawn, level=1)
         self._choices_bytes = len(choices)
