--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -1,4 +1,4 @@
-"""The leader of a rank group: follows the demand for experts with the group's map."""
+"""The leader of a rank group: adapts the group's expert map to the demand."""
 
 import asyncio
 import dataclasses
@@ -37,18 +37,19 @@
     from fuchsiahatch_experts.drift import Plan
     from fuchsiahatch_experts.planning import Passes
 
-#: Age up to which an agent's word that it obeys this term counts. States come each
+#: Age up to which an agent's acknowledgement of this term counts. States arrive each
 #: 100 ms, and one of them may be lost.
 MAX_TERM_ACK_AGE_MS = 300
-#: How often a leader that stops looks whether its switch has come to its end.
+#: Interval at which a stopping leader checks whether its switch has ended.
 FINISH_POLL_INTERVAL_MS = 10
-#: Time that a leader which stops gives its switch.
+#: Time that a stopping leader waits for its switch to end.
 FINISH_TIMEOUT_MS = 2_000
-#: Pause between two notices to the standby, or to agents that don't obey it yet.
+#: Interval between notices to the standby, or from the standby to agents that have not
+#: accepted its term yet.
 NOTICE_INTERVAL_MS = 20
 #: Experts of a rank, by layer.
 HeldExperts = tuple[tuple[int, ...], ...]
-#: Phases in which a switch is under way.
+#: Phases in which a switch is in progress.
 _SWITCHING = (
     Phase.COPYING,
     Phase.HOLDING,
@@ -60,15 +61,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Authority:
-    """What a leader may do, by its lease and the store.
+    """What a leader may do, depending on its lease and the store.
 
     Attributes
     ----------
-    has_lease : callable
+    holds_lease : callable
         Whether the leader's lease is valid.
-    is_alone : callable
-        Whether, besides, no earlier leader can still speak with engines.
-    lacks_store : callable
+    is_sole_leader : callable
+        Whether it is, and no earlier leader can still order engines.
+    store_unreachable : callable
         Whether the store doesn't answer, so that the lease can't be renewed.
     """
 
@@ -84,13 +85,13 @@
     ----------
     group : str
     term, rank, ranks : int
-    own : RankAgent
-        The leader's own rank.
-    own_peer : Peer
-        Where its agent takes datagrams.
+    local_agent : RankAgent
+        Agent of the leader's rank.
+    local_peer : Peer
+        Where that agent receives datagrams.
     datagrams : DatagramPort
     clock : Clock
-    engine_of : callable
+    connect_engine : callable
         Makes a client of the engine at an address.
     list_engines : coroutine function
         Returns the addresses of all engines of the service.
@@ -99,7 +100,7 @@
     link_bytes_per_s : float
         Bandwidth of the leader's host.
     takes_over : bool, optional
-        Whether it only ends a switch of the leader whose standby it is.
+        Whether this is a standby that only ends its leader's switch.
 
     Attributes
     ----------
@@ -140,7 +141,7 @@
         self._term_acked_ms: dict[int, int] = {}
         self._peers: dict[int, Peer] = {}
         self._sequences: dict[str, int] = {}
-        #: Experts that each rank holds, and the epoch and map that they are of.
+        #: Epoch, map version and experts that each rank last reported.
         self._held_experts: dict[int, tuple[int, int, HeldExperts]] = {}
         self._tasks = Tasks()
         self._stopping = False
@@ -170,11 +171,11 @@
         )
 
     def receive_state(self, state: RankState, peer: Peer) -> None:
-        """Take in a rank's state."""
+        """Process a rank's state."""
         if state.group != self._group:
             return
         if state.sequence <= self._sequences.get(state.upstream, 0):
-            # A late one; or the agent has started anew and counts from one again.
+            # It is late, or the agent has restarted and counts from one again.
             if state.sequence > 3:
                 return
         self._sequences[state.upstream] = state.sequence
@@ -189,48 +190,48 @@
         self._schedule_work()
 
     def _add_known_experts(self, report: RankReport) -> RankReport:
-        """Put in the experts that a rank holds, if it has told of them before."""
-        map_of = (report.epoch, report.map_version)
+        """Fill in a rank's experts if its report lacks them and they are known."""
+        map_key = (report.epoch, report.map_version)
         if report.experts is not None:
-            self._held_experts[report.rank] = (*map_of, report.experts)
+            self._held_experts[report.rank] = (*map_key, report.experts)
             return report
-        known = self._held_experts.get(report.rank)
-        if known is None or known[:2] != map_of:
+        held = self._held_experts.get(report.rank)
+        if held is None or held[:2] != map_key:
             return report
-        return msgspec.structs.replace(report, experts=known[2])
+        return msgspec.structs.replace(report, experts=held[2])
 
     def add_peers(self, peers: t.Mapping[int, Peer]) -> None:
-        """Learn where the agents of other ranks take datagrams."""
+        """Add the peers at which the agents of other ranks receive datagrams."""
         self._peers.update(peers)
 
     def receive_reply(self, reply: OrderReply) -> None:
-        """Take in an agent's answer to an order."""
+        """Process an agent's reply to an order."""
         if self._sender.receive_reply(reply, self._clock.now_ms()):
             self._schedule_work()
 
     def _schedule_work(self) -> None:
-        """Work once all datagrams that wait are read.
+        """Schedule `work` for when all waiting datagrams are read.
 
-        Done behind each of them, a leader that came late to its datagrams judged 57
-        agents by the first one, while what they had said waited in the same socket;
-        and 630 states a second cost as many rounds over all ranks.
+        If it ran after each datagram, a late leader would judge 57 agents as silent
+        after the first one, while their states wait in the same socket; and 630 states
+        a second would cost as many iterations over all ranks.
         """
         if not self._work_due:
             self._work_due = True
             asyncio.get_running_loop().call_soon(self.work)
 
     def work(self) -> None:
-        """Begin a switch if one pays, and send the orders that are due.
+        """Start a switch if one pays off, and send the orders that are due.
 
         Notes
         -----
-        Nothing is done that `may_lead` forbids. A leader whose host stood still wakes
-        with messages waiting for it, and would go on with a switch that its successor
-        has cleared.
+        It does nothing unless `may_lead`. A leader whose host was suspended resumes
+        with messages waiting, and would continue a switch that its successor has
+        cleared.
         """
         self._work_due = False
         if self._stopped:
-            # A datagram came in the turn of the loop in which the term was lost.
+            # A datagram arrived in the loop iteration in which the term was lost.
             return
         now_ms = self._clock.now_ms()
         self._active_clock.update(now_ms)
@@ -253,12 +254,12 @@
 
         Notes
         -----
-        While the store is away the lease ends and nobody can win another one. The
-        leader goes on as long as every agent of the group says that it obeys its term:
-        an agent that has heard of a later one refuses, and without all ranks there is
-        no switch. It speaks with no engine itself then, as an engine refuses nobody.
-        An outage of 8 s left groups on old maps, and 7 of 10 requests of its last
-        four seconds were late.
+        While the store is unreachable the lease expires and nobody can win another. The
+        leader continues as long as every agent of the group acknowledges its term: an
+        agent that has seen a later one refuses, and there is no switch without all
+        ranks. It calls no engine itself then, as an engine refuses nobody. Otherwise
+        an outage of 8 s leaves groups on old maps, and 7 of 10 requests of its last
+        four seconds are late.
         """
         if self._authority.holds_lease():
             return True
@@ -271,10 +272,10 @@
         return self._clock.now_ms() - oldest_ms <= MAX_TERM_ACK_AGE_MS
 
     def _may_switch(self) -> bool:
-        """Return whether a change of the map may be begun now.
+        """Return whether a change of the map may be started now.
 
-        An earlier leader that doesn't know yet that its lease is gone might let a pass
-        go that this one holds.
+        An earlier leader that doesn't know yet that it has lost its lease might release
+        a pass that this one holds.
         """
         if self._authority.holds_lease() and not self._authority.is_sole_leader():
             return False
@@ -282,19 +283,19 @@
 
     @property
     def ended(self) -> bool:
-        """Whether there is nothing left to do for one that took over."""
+        """Whether this leader was replaced, or has finished its takeover."""
         phase = self.switch.phase
         return self.switch.replaced or (self._takes_over and phase is Phase.IDLE)
 
     def stop(self) -> None:
-        """Do nothing more, also where work is due already."""
+        """Stop at once, even if `work` is scheduled already."""
         self._stopped = True
         self._silent.stop()
         self.plans.stop()
         self._tasks.cancel()
 
     async def finish(self) -> None:
-        """Bring a switch to its end before another agent leads."""
+        """Work until the switch in progress has ended, before another agent leads."""
         self._stopping = True
         deadline_ms = self._clock.now_ms() + FINISH_TIMEOUT_MS
         while self.switch.phase not in (Phase.IDLE, Phase.SETTLING):
@@ -304,7 +305,7 @@
             await asyncio.sleep(FINISH_POLL_INTERVAL_MS / 1000)
 
     def _notify(self, now_ms: int) -> None:
-        """Tell the standby of a switch, or all agents that the standby takes over."""
+        """Notify the standby of a switch, or all agents of a takeover."""
         if now_ms - self._notified_ms < NOTICE_INTERVAL_MS:
             return
         self._notified_ms = now_ms
@@ -329,8 +330,8 @@
             self._term_acked_ms.pop(rank, None)
 
     def _start_switch(self, plan: "Plan", passes: "Passes") -> bool:
-        """Begin to switch to a planned map; return whether that was done."""
-        # A standby whose agent is silent could agree to no commit.
+        """Start a switch to a planned map; return whether it was started."""
+        # A standby whose agent is silent couldn't agree to a commit.
         standby = self._silent.heard_behind(self._rank)
         if standby is None or self._stopping or not self._may_switch():
             return False
@@ -351,7 +352,7 @@
             return
         speaker = self._silent.speaker(order.rank)
         if speaker is not None:
-            # Nobody but the standby's own agent can agree to a commit.
+            # Only the standby's agent can agree to a commit.
             if not self._authority.is_sole_leader() or order.kind is OrderKind.COMMIT:
                 return
             self._tasks.begin(self._apply_directly(speaker, order))
@@ -373,10 +374,10 @@
             log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
 
     async def _apply_hold(self, order: Order) -> None:
-        """Give a hold to the standby's engine, and ask the standby for its effect.
+        """Send a hold to the standby's engine, and ask the standby for its effect.
 
-        Not through the standby's agent: its host would stand still with the hold if it
-        were the one that stops right behind it, and nobody could end it.
+        It is not sent through the standby's agent: if that host were suspended right
+        after the hold, it would be suspended with it, and nobody could end it.
         """
         address = self._silent.address(order.rank)
         if address is None or not self.may_lead():
@@ -384,8 +385,9 @@
         if self._hold_agent is None or self._hold_agent.address != address:
             self._hold_agent = RankAgent(self._connect_engine(address), address)
         result = await self._hold_agent.apply_order(order)
-        # An engine tells other hosts what it was some 200 ms ago, its own agent what
-        # it is: with the former, passes were held for 68 ms more in each switch.
+        # An engine reports its state to other hosts with a lag of some 200 ms, and to
+        # its local agent without. Relying on the former, each switch holds passes for
+        # 68 ms longer.
         self._notify_standby(asks_state=True)
         self.switch.answered(order, result, self._clock.now_ms())
 
--- a/tests/gateway/led_groups.py
+++ b/tests/gateway/led_groups.py
@@ -1,4 +1,4 @@
-"""A group's leader in virtual time, with what its work costs on its host."""
+"""A group's leader in virtual time, with the processor time of its work."""
 
 import asyncio
 import heapq
@@ -16,22 +16,22 @@
 from fuchsiahatch_gateway.rank_agent import RankAgent
 
 TERM = 2
-#: How often an agent tells its rank's state.
+#: Interval between the states that an agent sends.
 STATE_INTERVAL_MS = 100
-#: How often a leader works without being told anything.
+#: Interval between calls of a leader's `work` if it receives nothing.
 WORK_INTERVAL_MS = 20
-#: Time that a datagram is on its way.
+#: Latency of a datagram.
 LATENCY_MS = 2
-#: Datagrams that a loop reads before it does anything else.
+#: Datagrams that the event loop reads in one iteration.
 MAX_READS_PER_TURN = 128
-#: Steps of a search for a plan; more than a leader takes at once.
+#: Steps of a search for a plan; more than a leader makes in one iteration.
 PLAN_STEPS = 100
-#: Share of a core that the leader's host has.
+#: Share of a core available to the leader's host.
 CORE_SHARE = 0.645
 
 
 class RecordingPort:
-    """Takes what the leader sends."""
+    """Records what the leader sends."""
 
     def __init__(self):
         self.sent = []
@@ -50,18 +50,18 @@
     ----------
     ranks, layers, experts, places : int
     state_ms, plan_ms : float
-        What a state and a plan cost on a whole core.
+        Processor time of a state and of a plan on a whole core.
 
     Attributes
     ----------
     silent : set of int
-        Ranks whose agents say nothing.
+        Ranks whose agents send nothing.
     asked : list of str
-        Engines that the leader turned to itself.
-    alone : bool
+        Engines that the leader called itself.
+    is_sole_leader : bool
         Whether no earlier leader can still believe that it leads.
-    answers : bool
-        Whether they say at once that they can't answer, or nothing.
+    refuses_calls : bool
+        Whether engines refuse calls at once; otherwise they never answer.
     """
 
     def __init__(self, ranks, layers, experts, places, state_ms=0.0, plan_ms=0.0):
@@ -123,21 +123,21 @@
         return []
 
     def spend(self, cost_ms):
-        """Let a piece of work take its time."""
+        """Advance the clock by the cost of a piece of work."""
         self._unspent_ms += cost_ms
         whole_ms = int(self._unspent_ms)
         self._unspent_ms -= whole_ms
         self.clock.advance(whole_ms)
 
     def plan(self, *_args, **_options):
-        """Take the place of a search that finds no map worth its copies."""
+        """Replace a search for a plan by one that finds no map worth its copies."""
         self.planned_ms += self.plan_ms
         for _ in range(PLAN_STEPS):
             self.spend(self.plan_ms / PLAN_STEPS)
             yield
 
     def state(self, rank):
-        """Return what a rank's agent says now; the demand is the same for ever."""
+        """Return the state that a rank's agent sends now; the demand never changes."""
         self._sequence += 1
         now_ms = self.clock.now_ms()
         counts = np.full((self.layers, self.experts), 40, dtype=np.uint8)
@@ -155,13 +155,13 @@
         )
 
     async def run(self, for_ms, stall=None):
-        """Let all agents speak for a time; the leader's loop may stand still once.
+        """Let all agents send states for a time; the leader's loop may stall once.
 
         Parameters
         ----------
         for_ms : int
         stall : (int, int), optional
-            When it begins, behind the start, and for how long.
+            When it begins, after the start, and for how long.
         """
         began_ms = self.clock.now_ms()
         waiting = [
@@ -177,13 +177,13 @@
             for _ in range(MAX_READS_PER_TURN):
                 if waiting[0][0] + LATENCY_MS > self.clock.now_ms():
                     break
-                told_ms, rank = heapq.heappop(waiting)
-                heapq.heappush(waiting, (told_ms + STATE_INTERVAL_MS, rank))
+                sent_ms, rank = heapq.heappop(waiting)
+                heapq.heappush(waiting, (sent_ms + STATE_INTERVAL_MS, rank))
                 if rank in self.silent:
                     continue
                 self.leader.receive_state(self.state(rank), (f"10.0.0.{rank}", 1))
                 self.spend(self.state_ms)
-            # What the leader put off until it has read all that waits.
+            # Run the work that the leader scheduled for after all waiting datagrams.
             await asyncio.sleep(0)
             self.leader.work()
             await asyncio.sleep(0)
--- a/tests/gateway/test_late_leader.py
+++ b/tests/gateway/test_late_leader.py
@@ -8,29 +8,29 @@
 from tests.gateway.led_groups import LedGroup
 from tests.loopback import run
 
-#: Ranks, layers, experts and places of groups of the users' sizes, with what a state
-#: and a plan took on a whole core, in ms (measured before they were made cheaper).
+#: Ranks, layers, experts and places of groups of the users' sizes, and the processor
+#: time of a state and a plan on a whole core, in ms.
 SIZES = (
     (8, 6, 64, 11, 0.045, 3.1),
     (63, 8, 252, 5, 0.114, 22.4),
     (96, 16, 192, 3, 0.144, 39.2),
 )
-#: Share of its processor time that a leader may plan for where no plan pays.
-MOST_PLANNING = 0.25
+#: Share of its processor time that a leader may spend on planning if no plan pays off.
+MAX_PLANNING_SHARE = 0.25
 
 
 class TestLateLeader(unittest.TestCase):
-    """A leader that is late itself takes nobody else for silent.
-
-    On a quiet day each request of a service is late for sixteen seconds, and no host
-    has failed: a leader of 63 ranks looks at the demand each 20 ms and plans for most
-    of that time, as no plan pays. It reads what the agents said 0.4 s late, judges all
-    others as soon as it has read the first of them, and takes over the engines of 57
-    ranks at once, which fills its link and loses it its lease. Evidence: 57 agents
-    given up within 0.2 s, each time within 40 ms of the end of a change.
+    """A leader that is late itself does not judge agents as silent.
+
+    A leader of 63 ranks that checks the demand each 20 ms and finds no plan that pays
+    off spends most of its time on planning. It reads the agents' states 0.4 s late,
+    judges all others as silent after the first one, and calls the engines of 57 ranks
+    itself, which fills its link and costs it its lease: all requests of a service are
+    late for sixteen seconds though no host has failed. In the log, 57 agents are lost
+    within 0.2 s, within 40 ms of the end of a change.
     """
 
-    def test_what_has_arrived_is_read_before_anybody_is_judged(self):
+    def test_waiting_datagrams_are_read_before_agents_are_judged(self):
         async def play():
             group = LedGroup(63, 8, 252, 5)
             with mock.patch.object(planning, "plan_change", group.plan):
@@ -40,7 +40,7 @@
 
         self.assertEqual(run(play()), [])
 
-    def test_planning_in_vain_leaves_the_leader_time_to_hear(self):
+    def test_futile_planning_leaves_time_to_receive(self):
         async def play(size):
             group = LedGroup(*size)
             with mock.patch.object(planning, "plan_change", group.plan):
@@ -51,12 +51,12 @@
             with self.subTest(ranks=size[0]):
                 asked, share = run(play(size))
                 self.assertEqual(asked, [])
-                self.assertLess(share, MOST_PLANNING)
+                self.assertLess(share, MAX_PLANNING_SHARE)
 
-    def test_a_host_that_stood_still_hears_before_it_judges(self):
-        # A leader's host wakes behind two seconds. What the agents said meanwhile is
-        # lost with its socket's buffer: all look silent, though each of them speaks
-        # within 100 ms.
+    def test_a_resumed_host_receives_before_it_judges(self):
+        # A leader's host resumes after two seconds. The states sent meanwhile are lost
+        # with its socket's buffer: all agents look silent, though each sends within
+        # 100 ms.
         async def play():
             group = LedGroup(32, 12, 128, 5)
             with mock.patch.object(planning, "plan_change", group.plan):
@@ -68,9 +68,9 @@
 
         self.assertEqual(run(play()), [])
 
-    def test_a_few_engines_are_asked_at_once(self):
-        # Half of all agents are killed for two seconds. The leader asks all of their
-        # engines at once, each 150 ms: its link is full, and it loses its lease too.
+    def test_few_engines_are_asked_at_once(self):
+        # Half of all agents are killed for two seconds. A leader that asks all of their
+        # engines at once, each 150 ms, fills its link and loses its lease too.
         async def play():
             group = LedGroup(96, 16, 192, 3)
             with mock.patch.object(planning, "plan_change", group.plan):
@@ -97,9 +97,9 @@
 
         self.assertEqual(len(run(play())), 29)
 
-    def test_a_leader_that_stops_orders_nothing_more(self):
-        # A leader that has lost its lease sends orders once more: a state came in the
-        # same turn of the loop.
+    def test_a_stopped_leader_gives_no_orders(self):
+        # A leader that has lost its lease must not send orders once more because a
+        # state arrived in the same loop iteration.
         async def play():
             group = LedGroup(8, 6, 64, 11)
             with mock.patch.object(planning, "plan_change", group.plan):
