--- a/packages/gateway/src/fuchsiahatch_gateway/agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/agent.py
@@ -1,4 +1,4 @@
-"""The agent beside a model engine: reports its load and takes part in its group."""
+"""The agent of a model engine: reports its load and takes part in its group."""
 
 import asyncio
 import typing as t
@@ -58,13 +58,13 @@
     from fuchsiahatch_adapter.upstreams import EngineReport
     from fuchsiahatch_gateway.process import Process
 
-#: How often an agent asks the store for little. An entry renews a lease each second,
-#: an agent would not notice that the store is back before its watch ends.
+#: Interval between pings of the store. An entry renews a lease each second; without
+#: pings an agent would notice that the store is back only when its watch ends.
 STORE_POLL_INTERVAL_MS = 2_000
 
 
 class Agent:
-    """One agent, wired once.
+    """An agent process with all its parts.
 
     Parameters
     ----------
@@ -114,7 +114,7 @@
         self.store.on_restored = self._note_restored
 
     async def run(self) -> None:
-        """Report and take orders until SIGTERM."""
+        """Report and execute orders until SIGTERM."""
         process, settings = self._process, self._process.settings
         process.keep_running(self._follower.run())
         process.keep_running(self._entries.read_for_ever())
@@ -139,7 +139,7 @@
             await asyncio.sleep(max(REPORT_MS - took_ms, 5) / 1000)
 
     async def _poll_store_forever(self) -> None:
-        """Ask the store for little from time to time, so that its return is noticed."""
+        """Ping the store at intervals to notice when it is back."""
         while True:
             poll_ms = STORE_POLL_INTERVAL_MS if self.health.answers else STORE_RETRY_MS
             await asyncio.sleep(poll_ms / 1000)
@@ -172,21 +172,21 @@
         if leader is None:
             return
         if leader.peer == self.peer:
-            for own in self._active_leaders():
-                own.receive_state(state, self.peer)
+            for local_leader in self._active_leaders():
+                local_leader.receive_state(state, self.peer)
             return
         self.datagrams.send(self._reporter.trim(state, leader.term), leader.peer)
 
     def _find_leader(self, group: str) -> LeaderRecord | None:
-        """Return the leader of the highest term that this agent has heard of."""
-        known = (self._leaders.get(group), self.takeovers.records.get(group))
-        heard = (leader for leader in known if leader is not None)
-        return max(heard, key=lambda leader: leader.term, default=None)
+        """Return the known leader with the highest term."""
+        records = (self._leaders.get(group), self.takeovers.records.get(group))
+        leaders = (leader for leader in records if leader is not None)
+        return max(leaders, key=lambda leader: leader.term, default=None)
 
     def _active_leaders(self) -> list[GroupLeader]:
-        """Return what this agent leads, be it elected or as a standby."""
-        led = (self.leader, self.takeovers.leader)
-        return [one for one in led if one is not None]
+        """Return the leaders that run in this agent: elected, or as a standby."""
+        leaders = (self.leader, self.takeovers.leader)
+        return [leader for leader in leaders if leader is not None]
 
     async def _lead_forever(self) -> None:
         while not self._process.stopping.is_set():
@@ -196,10 +196,10 @@
             if report is None or not report.group or report.ranks < 2:
                 continue
             await self.takeovers.work()
-            known = self._leaders.get(report.group)
+            known_leader = self._leaders.get(report.group)
             if self.leader is None:
                 if self._follower.synced:
-                    await self._try_to_lead(report, known)
+                    await self._try_to_lead(report, known_leader)
             elif self._is_replaced():
                 self._lose_term()
             elif self.leader.switch.exhausted:
@@ -212,7 +212,7 @@
     def _make_takeover(
         self, notice: StandbyNotice, report: "EngineReport", term: int
     ) -> GroupLeader:
-        """Return who ends the switch of the leader whose standby this agent is."""
+        """Return a leader that ends the switch of this standby's silent leader."""
         return self._make_leader(
             notice.group,
             term,
@@ -255,17 +255,17 @@
         self._process.keep_running(self._send_state_now())
 
     async def _send_state_now(self) -> None:
-        """Tell the leader of this rank's state before the next report is due."""
+        """Send this rank's state to the leader before the next report is due."""
         try:
             self._send_state(await self.rank.read_state(with_choices=False))
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
 
     def _is_replaced(self) -> bool:
-        """Return whether another agent leads, or may do so by now.
+        """Return whether another agent leads, or may have won by now.
 
-        While the store is away nobody can win: the leader stays, and whether it may
-        order anything depends on the other agents.
+        While the store is unreachable nobody can win: the leader stays, and whether it
+        may give orders depends on the other agents.
         """
         leadership = self.leadership
         assert self.leader is not None
@@ -274,21 +274,21 @@
         return not leadership.holds_lease and not leadership.renewal_unanswered
 
     async def _try_to_lead(
-        self, report: "EngineReport", known: LeaderRecord | None
+        self, report: "EngineReport", known_leader: LeaderRecord | None
     ) -> None:
-        if await self.leadership.try_win(report.group, report.rank, known):
+        if await self.leadership.try_win(report.group, report.rank, known_leader):
             self._start_leading(report.group, report.rank, report.ranks)
             return
-        found, self.leadership.found_leader = self.leadership.found_leader, None
-        if found is not None:
-            self._leaders[found.group] = found
+        leader, self.leadership.found_leader = self.leadership.found_leader, None
+        if leader is not None:
+            self._leaders[leader.group] = leader
             self._note_leader()
 
     def _start_leading(self, group: str, rank: int, ranks: int) -> None:
         term = self.leadership.term
         log_event(Event.TERM_WON, group=group, term=term, rank=rank)
-        # While the ranks settle, not with the first demand: it takes 0.4 s, for which
-        # passes were three times as long as they need be.
+        # Imported while the ranks settle rather than with the first demand: the import
+        # takes 0.4 s, during which passes would take three times as long as necessary.
         import fuchsiahatch_experts.drift  # noqa: F401
 
         self.rank.note_term(term)
@@ -316,13 +316,13 @@
         )
 
     def _update_leader_figures(self) -> None:
-        """Tell the leader of its engines' figures, where they are known."""
+        """Pass the engines' figures to the leader, if both are known."""
         figures = self._figures.get(self._process.settings.beside_service)
         if figures is not None and self.leader is not None:
             self.leader.plans.set_engine(figures.engine, figures.gap_ms)
 
     def _note_restored(self) -> None:
-        """Give up what stood in the store: it came back from an older copy."""
+        """Give up the leadership: the store was restored from an older copy."""
         self.health.note_restored(self._clock.now_ms())
         self.leadership.note_restored()
 
@@ -344,10 +344,10 @@
         return ItemCopy(prefix, self.health, self._clock, apply)
 
     def _apply_leaders(self) -> None:
-        led = self._leader_copy.items
+        items = self._leader_copy.items
         self._leaders = {
-            group: LeaderRecord(group, term_of(era, led[group].created), peer)
-            for group, (peer, era) in self._leader_items.decode_all(led).items()
+            group: LeaderRecord(group, term_of(era, items[group].created), peer)
+            for group, (peer, era) in self._leader_items.decode_all(items).items()
         }
         self._note_leader()
 
@@ -362,8 +362,10 @@
         return ModelEngine(parse_address(address), self._engines_pool)
 
     async def _list_engines(self) -> list[str]:
-        found = await self.store.read_all(UPSTREAMS_PREFIX)
-        items = {item.key.removeprefix(UPSTREAMS_PREFIX): item for item in found.items}
+        listing = await self.store.read_all(UPSTREAMS_PREFIX)
+        items = {
+            item.key.removeprefix(UPSTREAMS_PREFIX): item for item in listing.items
+        }
         service = self._process.settings.beside_service
         entries = ItemDecoder(decode_upstream_entry).decode_all(items)
         return [
@@ -373,9 +375,9 @@
         ]
 
     def _note_leader(self) -> None:
-        # Asked before each report too: an agent that learns of the leader before it
-        # knows its own group would never tell that leader that it obeys its term, and
-        # the leader would wait for ever.
+        # Also called before each report: an agent that learns of the leader before its
+        # own group would otherwise never acknowledge the leader's term, and the leader
+        # would wait forever.
         group = "" if self.rank.last_report is None else self.rank.last_report.group
         leader = self._find_leader(group)
         if leader is not None:
@@ -383,8 +385,8 @@
 
     def _receive_message(self, message: Message, peer: Peer) -> None:
         if isinstance(message, RankState):
-            for own in self._active_leaders():
-                own.receive_state(message, peer)
+            for leader in self._active_leaders():
+                leader.receive_state(message, peer)
         elif isinstance(message, EntryBeat):
             self._entries.take(message, peer)
             self._reporter.send_load_to(peer)
@@ -393,17 +395,17 @@
         elif isinstance(message, TakeoverNotice) and self._follower.synced:
             self.takeovers.accept(message, peer)
         elif isinstance(message, OrderRequest) and self._follower.synced:
-            # An agent that has just started knows no term: before it has read who
-            # leads, an order of a leader that was replaced would look like any other.
+            # An agent that has just started knows no term. Before it has read who
+            # leads, it couldn't tell an order of a replaced leader from any other.
             self._process.keep_running(self._execute_order(message, peer))
         elif isinstance(message, OrderRelay) and self._follower.synced:
             self._pass_on(message, peer)
         elif isinstance(message, OrderReply):
-            for own in self._active_leaders():
-                own.receive_reply(message)
+            for leader in self._active_leaders():
+                leader.receive_reply(message)
 
     def _pass_on(self, relay: OrderRelay, leader: Peer) -> None:
-        """Send orders to others for a leader, unless it was replaced."""
+        """Relay a leader's orders to other agents, unless it was replaced."""
         if relay.term < self.rank.term:
             return
         for target in relay.targets:
--- a/tests/gateway/test_agents.py
+++ b/tests/gateway/test_agents.py
@@ -20,7 +20,7 @@
 
 
 class Group:
-    """Three agents beside a group's stand-ins, for the time of a context."""
+    """Three agents of a group's simulated engines, for the time of a context."""
 
     def __init__(self, seed=1, link_mbps=8.0):
         self.link_mbps = link_mbps
@@ -32,9 +32,9 @@
         self.store_port = await self.store.listen()
         document = self.configuration()
         self.store.put("op/config", document)
-        # What an entry writes of it.
-        known = decode_configuration(dump(document))
-        for service, figures in extract_figures(known).items():
+        # The engine figures that an entry writes to the store.
+        configuration = decode_configuration(dump(document))
+        for service, figures in extract_figures(configuration).items():
             self.store.put(ENGINES_PREFIX + service, figures.encode())
         await self.engines.start()
         for rank, ip in enumerate(IPS):
@@ -77,8 +77,8 @@
         agent, process, task = self.running.pop(rank)
         task.cancel()
         process._tasks.cancel()
-        for one in agent._active_leaders():
-            one.stop()
+        for leader in agent._active_leaders():
+            leader.stop()
         if agent.datagrams.transport is not None:
             stopped = agent.datagrams.transport.stopListening()
             await stopped.asFuture(asyncio.get_running_loop())
@@ -87,7 +87,7 @@
 
     def leader(self):
         return next(
-            (rank for rank, (one, *_) in self.running.items() if one.leader), None
+            (rank for rank, (agent, *_) in self.running.items() if agent.leader), None
         )
 
 
@@ -104,8 +104,9 @@
         self.assertEqual(run(follow()), [])
 
     def test_a_group_behind_slow_links_follows_its_demand(self):
-        # A group of 63 ranks keeps its first map all day: one change's orders overdrew
-        # the leader's link, and the count of those that it had room for was negative.
+        # If the orders of one change overdraw the budget of the leader's link, and the
+        # number of orders that may be sent gets negative, a group of 63 ranks keeps its
+        # first map all day.
         async def follow():
             sizes = {"BURST_BYTES": 3, "ORDER_BYTES": 1, "COPY_BYTES": 0.001}
             with mock.patch.multiple(order_pacing, **sizes):
@@ -115,7 +116,7 @@
 
         self.assertEqual(run(follow()), [])
 
-    def test_a_group_whose_orders_are_passed_on_follows_its_demand(self):
+    def test_a_group_with_relayed_orders_follows_its_demand(self):
         async def follow():
             with mock.patch.object(order_pacing, "DIRECT_MS", 0):
                 async with Group(23) as group:
@@ -124,9 +125,9 @@
 
         self.assertEqual(run(follow()), [])
 
-    def test_orders_that_nobody_passes_on_go_out_directly(self):
-        # A group of 96 ranks keeps its map while one host stands still: its agent
-        # should have passed the leader's orders on to nine others.
+    def test_orders_that_are_not_relayed_are_sent_directly(self):
+        # Otherwise a group of 96 ranks keeps its map while one host is suspended whose
+        # agent should relay the leader's orders to nine others.
         async def follow():
             lost = mock.patch.object(Agent, "_pass_on", lambda *_: None)
             with lost, mock.patch.object(order_pacing, "DIRECT_MS", 0):
@@ -136,9 +137,9 @@
 
         self.assertEqual(run(follow()), [])
 
-    def test_maps_are_one_while_orders_are_lost_and_late(self):
-        # A pass runs with two maps: an order without an answer was carried out after
-        # the switch that it belonged to had been given up.
+    def test_no_pass_mixes_maps_while_orders_are_lost_and_late(self):
+        # An order without an answer may be executed after its switch was abandoned; a
+        # pass would then run with two maps.
         async def trouble():
             async with Group(3) as group:
                 group.engines.lost_share = 0.2
@@ -154,9 +155,9 @@
 
         self.assertEqual(run(trouble()), [])
 
-    def test_a_killed_leader_is_followed_by_another(self):
-        # A group stands still until its leader's host is back: it died while passes
-        # were held, and nobody else let them go.
+    def test_a_killed_leader_is_succeeded_by_another(self):
+        # If a leader dies while passes are held and nobody else releases them, its
+        # group pauses until the leader's host is back.
         async def kill():
             async with Group(5) as group:
                 await until(lambda: group.engines.switches >= 1, 10.0)
@@ -178,10 +179,10 @@
 
         self.assertEqual(run(kill()), [])
 
-    def test_a_host_that_stands_still_holds_its_group_for_half_a_second(self):
-        # Every stream of the service stops for four seconds: the leader's host stood
-        # still right behind its hold, and neither its agent nor its engine could be
-        # asked what its rank had been told.
+    def test_a_suspended_host_holds_its_group_for_half_a_second(self):
+        # The leader's host is suspended right after its hold, and neither its agent nor
+        # its engine can be asked which orders its rank got. Without a standby every
+        # stream of the service stops for four seconds.
         async def freeze():
             async with Group(11) as group:
                 await until(lambda: group.engines.switches >= 1, 10.0)
@@ -206,9 +207,9 @@
 
         self.assertEqual(run(freeze()), [])
 
-    def test_a_silent_agent_keeps_no_group_on_an_old_map(self):
-        # Streams stumble for four seconds: one agent's host stands still, and the
-        # leader waits for its rank's word before each change of map.
+    def test_a_silent_agent_does_not_keep_its_group_on_an_old_map(self):
+        # Streams stall for four seconds if one agent's host is suspended and the leader
+        # waits for its rank's state before each map change.
         async def silence():
             async with Group(9) as group:
                 await until(lambda: group.engines.switches >= 1, 10.0)
@@ -222,9 +223,9 @@
 
         self.assertEqual(run(silence()), [])
 
-    def test_a_group_is_led_on_while_the_store_is_away(self):
-        # Answers come late for as long as the store is away: the leader can't renew
-        # its lease, nobody else can win one, and the demand moves on without the map.
+    def test_a_leader_continues_while_the_store_is_unreachable(self):
+        # While the store is unreachable the leader can't renew its lease and nobody
+        # else can win one. If the map doesn't follow the demand, answers are late.
         async def outage():
             async with Group(13) as group:
                 await until(lambda: group.engines.switches >= 1, 10.0)
@@ -245,8 +246,8 @@
         self.assertEqual(run(outage()), [])
 
     def test_without_the_store_a_leader_needs_every_agent(self):
-        # A pass runs with two maps: a leader whose lease had ended went on beside its
-        # successor, and spoke with the engine of an agent that stood still.
+        # A leader whose lease has expired must not go on beside its successor and call
+        # the engine of a suspended agent: a pass would run with two maps.
         async def outage():
             async with Group(17) as group:
                 await until(lambda: group.engines.switches >= 1, 10.0)
@@ -254,8 +255,8 @@
                 group.store.faults.status = 503
                 group.store.cut()
                 await asyncio.sleep(2.0)
-                # Not at one instant: all agents share this loop, and where it stands
-                # still for 0.35 s just then, their words are older than that allows.
+                # Polled rather than checked once: all agents share this loop, and if it
+                # stalls for 0.35 s just then, their acknowledgements are too old.
                 leader = group.running[first][0].leader
                 await until(leader.may_lead, 1.0)
                 before = group.engines.switches
@@ -281,7 +282,7 @@
 
         run(replace())
 
-    def test_a_group_that_forms_anew_is_led_on(self):
+    def test_a_group_that_forms_again_follows_its_demand(self):
         async def form():
             async with Group(7) as group:
                 await until(lambda: group.engines.switches >= 1, 10.0)
