--- a/tests/gateway/test_restored_leaders.py
+++ b/tests/gateway/test_restored_leaders.py
@@ -29,14 +29,15 @@
 
 class TestTerms(unittest.TestCase):
     def test_terms_of_a_later_era_are_higher(self):
-        # A group stands still until revisions have grown again: all agents refuse the
-        # leader that was elected behind the store's return.
+        # Otherwise all agents refuse the leader that was elected after the store was
+        # restored, and the group has none until revisions have grown again.
         lost = REVISIONS_PER_ERA - 1
         self.assertGreater(term_of(2, 1_000), term_of(1, 1_000 + lost))
         self.assertNotEqual(term_of(2, 1_000), term_of(1, 1_000))
 
     def test_versions_of_maps_stay_within_63_bits(self):
-        # A store whose eras begin with any number: no order could be encoded.
+        # A store's eras may begin with any number; with longer versions no order could
+        # be encoded.
         for era in (0, 1, 33, 4_095, 1_770_342_559):
             with self.subTest(era=era):
                 term = takeover_term(term_of(era, 5_000_000))
@@ -51,7 +52,7 @@
                 clock = ManualClock(1_000)
                 leadership = Leadership(served.client, "side-1", ("10.0.0.1", 1), clock)
                 served.client.on_restored = leadership.note_restored
-                # The era counts from the process's first sight of it, not its start.
+                # The era counts from when the process first sees it, not its start.
                 await served.client.ping()
                 leadership.settled_era.look()
                 clock.advance(LEADER_TTL_MS)
@@ -61,7 +62,7 @@
 
         return run(play())
 
-    def test_a_leader_whose_lease_the_store_forgot_leads_no_more(self):
+    def test_a_leader_whose_lease_the_store_lost_stops_leading(self):
         async def work(served, leadership, clock, copy):
             before = leadership.is_sole_leader
             await served.restore(copy)
@@ -69,9 +70,9 @@
 
         self.assertEqual(self.elect(work), (True, False, False))
 
-    def test_a_lease_whose_number_is_anothers_keeps_nobody_in_office(self):
-        # Two leaders of a group: the store gave the lease's number out again, and
-        # renews it for both.
+    def test_a_reused_lease_number_does_not_keep_a_leader(self):
+        # The restored store has granted the lease's number again and renews it for both
+        # holders; the group would have two leaders.
         async def work(served, leadership, clock, copy):
             lease = leadership._lease
             served.store.restore(copy)
@@ -82,7 +83,7 @@
 
         self.assertEqual(self.elect(work), (True, False))
 
-    def test_a_new_leader_is_alone_once_former_leases_have_ended(self):
+    def test_a_new_leader_is_the_sole_one_once_former_leases_have_expired(self):
         async def work(served, leadership, clock, copy):
             term = leadership.term
             await served.restore(copy)
@@ -90,15 +91,15 @@
             won = await leadership.try_win("g", 0, None)
             early = leadership.is_sole_leader
             clock.advance(LEADER_TTL_MS - 401)
-            still = leadership.is_sole_leader
+            last = leadership.is_sole_leader
             clock.advance(1)
-            return won, leadership.term > term, early, still, leadership.is_sole_leader
+            return won, leadership.term > term, early, last, leadership.is_sole_leader
 
         # The lease itself is shorter than that: it is renewed in between.
-        won, later, early, still, _ = self.elect(work)
-        self.assertEqual((won, later, early, still), (True, True, False, False))
+        won, later, early, last, _ = self.elect(work)
+        self.assertEqual((won, later, early, last), (True, True, False, False))
 
-    def test_an_election_over_a_return_is_void(self):
+    def test_an_election_during_a_restore_is_invalidated(self):
         async def play():
             async with Served() as served:
                 clock = Clock()
@@ -121,11 +122,11 @@
         self.assertEqual(run(play()), (False, False, [LEADERS_PREFIX + "g"]))
 
 
-class TestLeaderThatIsNotAlone(unittest.TestCase):
-    def lead(self, alone):
+class TestSoleLeader(unittest.TestCase):
+    def lead(self, is_sole_leader):
         async def play():
             group = LedGroup(8, 6, 64, 11)
-            group.is_sole_leader, group.silent = alone, {3}
+            group.is_sole_leader, group.silent = is_sole_leader, {3}
             group.leader._silent.note_heard(3, "10.0.0.3:80", 0)
             with mock.patch.object(planning, "plan_change", group.plan):
                 await group.run(1_500)
@@ -133,20 +134,21 @@
 
         return run(play())
 
-    def test_begins_no_switch_and_speaks_with_no_engine(self):
-        # Behind the store's return two leaders speak with a silent agent's engine.
+    def test_a_leader_that_is_not_sole_starts_no_switch_and_calls_no_engine(self):
+        # Otherwise, after the store was restored, two leaders order the engine of a
+        # silent agent.
         self.assertEqual(self.lead(False), (False, [], True))
 
-    def test_does_both_once_it_is(self):
+    def test_a_sole_leader_does_both(self):
         may_switch, asked, _ = self.lead(True)
         self.assertTrue(may_switch)
         self.assertEqual(set(asked), {"10.0.0.3:80"})
 
 
 class TestGroups(unittest.TestCase):
-    """A rank group goes on through the store's return from an older copy."""
+    """A rank group keeps working when the store is restored from an older copy."""
 
-    def test_a_group_follows_its_demand_behind_it(self):
+    def test_a_group_follows_its_demand_after_a_restore(self):
         async def play():
             async with Group(41) as group:
                 copy = group.store.copy()
@@ -168,9 +170,9 @@
 
         self.assertEqual(run(play()), (True, True, []))
 
-    def test_maps_are_one_while_the_store_returns_again_and_again(self):
-        # A pass runs with two maps: a leader whose lease the store has forgotten goes
-        # on beside its successor, under a term that revisions gave out twice.
+    def test_no_pass_mixes_maps_during_repeated_restores(self):
+        # A leader whose lease the store has lost must not go on beside its successor,
+        # under a term that was issued twice: a pass would run with two maps.
         async def play(seed):
             rng = random.Random(seed)
             async with Group(seed) as group:
