--- a/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
@@ -41,7 +41,7 @@
 MAX_KEPT_MAPS = 4
 #: Attempts of an order until it is answered. With one attempt and a tenth of the
 #: answers lost, most switches hold passes for 250 ms and every stream of the group is
-#: late, which costs half of the worth of six seconds.
+#: late, which halves the value of its answers for six seconds.
 MAX_ORDER_ATTEMPTS = 3
 
 
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -90,9 +90,9 @@
                     await asyncio.sleep(0.01)
                 return len(election.store.calls) - before, election.one.found_leader
 
-        calls, found = run(elect())
+        calls, leader = run(elect())
         self.assertLessEqual(calls, 4)
-        self.assertEqual(found.peer, ("10.0.0.2", 7))
+        self.assertEqual(leader.peer, ("10.0.0.2", 7))
 
     def test_a_lease_that_is_not_renewed_ends_by_its_holders_clock(self):
         async def elect():
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -26,14 +26,14 @@
                 (order.rank, result)
             ),
         )
-        self.own = types.SimpleNamespace(
+        self.local_agent = types.SimpleNamespace(
             experts_per_layer=EXPERTS, known_map=lambda version, ranks: MAP
         )
         self.sender = OrderSender(
             "g",
             40,
             RANKS,
-            self.own,
+            self.local_agent,
             self.port,
             self.switch,
             OrderPacer(LINK_BYTES_PER_S, 0),
@@ -84,20 +84,20 @@
         self.assertLess(sum(map(len, sent)), 0.1 * LINK_BYTES_PER_S)
         relays = [message for message, _ in self.port.sent]
         self.assertEqual({message.change.base for message in relays}, {NO_BASE})
-        told = {target.rank for message in relays for target in message.targets}
-        self.assertEqual(told, set(range(1, RANKS)))
+        recipients = {target.rank for message in relays for target in message.targets}
+        self.assertEqual(recipients, set(range(1, RANKS)))
 
     def test_a_restarted_leader_sends_full_maps_at_once(self):
         # After a kill of all processes the first change of 72 ranks takes 1.6 s: each
         # agent first replies that it lacks the base, and then gets a full map directly.
         self.switch.phase = Phase.COPYING
-        self.own.known_map = lambda version, ranks: None
+        self.local_agent.known_map = lambda version, ranks: None
         sent = self.clear(0)
         self.assertLess(sum(map(len, sent)), 0.1 * LINK_BYTES_PER_S)
         relays = [message for message, _ in self.port.sent]
         self.assertEqual({message.change.base for message in relays}, {NO_BASE})
-        told = {target.rank for message in relays for target in message.targets}
-        self.assertEqual(told, set(range(1, RANKS)))
+        recipients = {target.rank for message in relays for target in message.targets}
+        self.assertEqual(recipients, set(range(1, RANKS)))
 
     def test_agents_without_the_base_do_not_change_the_orders_of_others(self):
         self.clear(0)
