--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -257,9 +257,9 @@
         While the store is unreachable the lease expires and nobody can win another. The
         leader continues as long as every agent of the group acknowledges its term: an
         agent that has seen a later one refuses, and there is no switch without all
-        ranks. It calls no engine itself then, as an engine refuses nobody. Otherwise
-        an outage of 8 s leaves groups on old maps, and 7 of 10 requests of its last
-        four seconds are late.
+        ranks. It calls no engine itself then, as an engine refuses nobody. A leader
+        that stopped with its lease would leave its group on an old map in an outage of
+        8 s, and 7 of 10 requests of the last four seconds would be late.
         """
         if self._authority.holds_lease():
             return True
