--- a/packages/gateway/src/fuchsiahatch_gateway/plan_readiness.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/plan_readiness.py
@@ -1,14 +1,13 @@
-"""Why a leader plans no change of its group's map, told where that lasts."""
+"""Logs what a leader lacks to plan changes of its group's map, if that lasts."""
 
 import enum
 
 from fuchsiahatch_core.events import Event, log_event
 
-#: Time for which something is lacking before a line says so: longer than a change of
-#: the map takes, for which nothing else is planned.
-LACK_AFTER_MS = 1_000
-#: Pause between two such lines.
-LACK_AGAIN_MS = 2_000
+#: Time for which something is lacking before it is logged. It is longer than a change
+#: of the map takes, during which nothing else is planned.
+LACK_LOG_DELAY_MS = 1_000
+LACK_LOG_INTERVAL_MS = 2_000
 
 
 class Lack(enum.Enum):
@@ -19,9 +18,9 @@
     ENGINE
         The figures of the group's engines.
     CHOICES
-        Choices of experts, as the ranks' agents tell them.
+        Expert choices, as the ranks' agents report them.
     SETTLED_MAP
-        A group that is open, with a map that is known and no change under way.
+        An open group with a known map and no change in progress.
     """
 
     ENGINE = "figures of the engines"
@@ -30,34 +29,34 @@
 
 
 class PlanReadiness:
-    """Keeps note of what a leader lacks, and since when.
+    """Tracks what a leader lacks, and since when.
 
     Parameters
     ----------
     group : str
     """
 
-    __slots__ = ("_group", "_lack", "_since_ms", "_told_ms")
+    __slots__ = ("_group", "_lack", "_logged_ms", "_since_ms")
 
     def __init__(self, group: str) -> None:
         self._group = group
         self._lack: Lack | None = None
         self._since_ms = 0
-        self._told_ms: int | None = None
+        self._logged_ms: int | None = None
 
     def note(self, lack: Lack | None, now_ms: int) -> None:
-        """Take in what is lacking now; None when a plan could be made.
+        """Record what is lacking now; None if a plan could be made.
 
-        Guards against a leader that leads and changes nothing for the rest of its
-        term: without a line, it looks like one whose map pays.
+        Without a log line, a leader that can plan nothing for the rest of its term
+        looks like one whose map needs no change.
         """
         if lack is not self._lack:
             self._lack, self._since_ms = lack, now_ms
-            self._told_ms = None
-        if lack is None or now_ms - self._since_ms < LACK_AFTER_MS:
+            self._logged_ms = None
+        if lack is None or now_ms - self._since_ms < LACK_LOG_DELAY_MS:
             return
-        if self._told_ms is None or now_ms - self._told_ms >= LACK_AGAIN_MS:
-            self._told_ms = now_ms
+        if self._logged_ms is None or now_ms - self._logged_ms >= LACK_LOG_INTERVAL_MS:
+            self._logged_ms = now_ms
             log_event(
                 Event.PLANS_LACK,
                 group=self._group,
--- a/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
@@ -1,12 +1,12 @@
-"""An agent's part in takeovers: its own as a standby, and those that it obeys."""
+"""Takeovers of an agent: those it makes as a standby, and those it accepts."""
 
 import typing as t
 
 from fuchsiahatch_core.events import Event, log_event
 from fuchsiahatch_core.exceptions import PlatformError
 from fuchsiahatch_gateway.datagrams import Peer, StandbyNotice, TakeoverNotice
-from fuchsiahatch_gateway.hearing import Hearing
 from fuchsiahatch_gateway.leadership import LeaderRecord, takeover_term
+from fuchsiahatch_gateway.stall_aware_clock import StallAwareClock
 from fuchsiahatch_gateway.standby import Standby
 
 if t.TYPE_CHECKING:
@@ -19,35 +19,36 @@
 
 
 class Takeovers:
-    """Takes over from a leader that is silent, and obeys others that do.
+    """Takes over from a silent leader, and accepts takeovers by other standbys.
 
     Parameters
     ----------
     rank : RankAgent
     peer : Peer
-        Where this agent takes datagrams.
+        Where this agent receives datagrams.
     clock : Clock
     make_leader : callable
-        Makes who ends the leader's switch, of its notice, a report and a term.
-    tell_state : callable
-        Tells this rank's state to its leader at once.
+        Makes the leader that ends the switch, from the silent leader's notice, an
+        engine's report and a term.
+    report_state : callable
+        Reports this rank's state to its leader at once.
 
     Attributes
     ----------
     leader : GroupLeader or None
-        Who ends a silent leader's switch, while this agent does so.
+        Ends a silent leader's switch, while this agent has taken over.
     records : dict of str to LeaderRecord
-        Who has taken over last, by group.
+        The last takeover, by group.
     """
 
     __slots__ = (
+        "_active_clock",
         "_clock",
-        "_hearing",
         "_make_leader",
         "_peer",
         "_rank",
+        "_report_state",
         "_standby",
-        "_tell_state",
         "leader",
         "records",
     )
@@ -58,61 +59,67 @@
         peer: Peer,
         clock: "Clock",
         make_leader: MakeLeader,
-        tell_state: t.Callable[[], None],
+        report_state: t.Callable[[], None],
     ) -> None:
         self._rank = rank
         self._peer = peer
         self._clock = clock
         self._make_leader = make_leader
-        self._tell_state = tell_state
+        self._report_state = report_state
         self._standby = Standby()
-        self._hearing = Hearing(clock.now_ms())
+        self._active_clock = StallAwareClock(clock.now_ms())
         self.leader: GroupLeader | None = None
         self.records: dict[str, LeaderRecord] = {}
 
     def note(self, notice: StandbyNotice) -> None:
-        """Take in the word of a leader whose standby this agent is."""
-        self._standby.note(notice, self._hearing.heard_ms)
+        """Process a notice of the leader whose standby this agent is."""
+        self._standby.note(notice, self._active_clock.active_ms)
         if notice.asks_state:
-            self._tell_state()
+            self._report_state()
 
-    def obey(self, notice: TakeoverNotice, peer: Peer) -> None:
-        """Obey a standby, and tell it of this rank at once: passes are held."""
-        seen = self._rank.seen
-        if seen is None or seen.group != notice.group or notice.term < self._rank.term:
+    def accept(self, notice: TakeoverNotice, peer: Peer) -> None:
+        """Accept a takeover; passes are held, so report this rank's state at once."""
+        report = self._rank.last_report
+        if (
+            report is None
+            or report.group != notice.group
+            or notice.term < self._rank.term
+        ):
             return
         self.records[notice.group] = LeaderRecord(notice.group, notice.term, peer)
         self._rank.note_term(notice.term)
-        self._tell_state()
+        self._report_state()
 
     async def work(self) -> None:
-        """Take over where passes are held here and the leader is silent."""
-        self._hearing.look(self._clock.now_ms())
+        """Take over if passes are held here and the leader is silent."""
+        self._active_clock.update(self._clock.now_ms())
         if self.leader is not None:
-            self._go_on(self.leader)
+            self._continue(self.leader)
             return
         notice = self._standby.notice
-        if notice is None or not self._standby.suspects(self._hearing.heard_ms):
+        if notice is None or not self._standby.suspects_leader(
+            self._active_clock.active_ms
+        ):
             return
         try:
-            seen = await self._rank.read_report()
+            report = await self._rank.read_report()
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
             return
-        if seen.held is not None and self._rank.term == notice.term:
-            self._begin(notice, seen)
+        if report.held is not None and self._rank.term == notice.term:
+            self._begin(notice, report)
         self._standby.forget()
 
-    def _begin(self, notice: StandbyNotice, seen: "EngineReport") -> None:
+    def _begin(self, notice: StandbyNotice, report: "EngineReport") -> None:
         term = takeover_term(notice.term)
-        log_event(Event.TAKEOVER_BEGUN, group=notice.group, term=term, step=seen.held)
+        log_event(Event.TAKEOVER_BEGUN, group=notice.group, term=term, step=report.held)
         self._rank.note_term(term)
-        self.leader = self._make_leader(notice, seen, term)
-        self.leader.introduce(notice.peers)
+        self.leader = self._make_leader(notice, report, term)
+        self.leader.add_peers(notice.peers)
         self.records[notice.group] = LeaderRecord(notice.group, term, self._peer)
-        self._tell_state()
+        self._report_state()
 
-    def _go_on(self, leader: "GroupLeader") -> None:
+    def _continue(self, leader: "GroupLeader") -> None:
         leader.work()
         if leader.ended or not leader.may_lead():
             log_event(Event.TAKEOVER_ENDED, phase=leader.switch.phase.value)
--- a/tests/gateway/test_answer_times.py
+++ b/tests/gateway/test_answer_times.py
@@ -6,8 +6,8 @@
 from fuchsiahatch_experts.rank_orders import Order, OrderKind, OrderResult
 from fuchsiahatch_gateway import rank_agent
 from fuchsiahatch_gateway.answer_times import (
-    LEAST_WAIT_MS,
-    MOST_WAIT_MS,
+    MAX_TIMEOUT_MS,
+    MIN_TIMEOUT_MS,
     AnswerTimes,
 )
 from fuchsiahatch_gateway.rank_agent import RankAgent
@@ -18,7 +18,7 @@
 
 
 class Engine:
-    """Answers reports in a set time, and an order's tries as it is told to."""
+    """Answers reports in a fixed time, and loses the first `lost` arm orders."""
 
     def __init__(self, report_ms, lost):
         self.now_ms = 0.0
@@ -39,26 +39,26 @@
 
 
 class TestAnswerTimes(unittest.TestCase):
-    def test_answers_that_vary_are_waited_for_longer(self):
+    def test_varying_response_times_have_a_longer_timeout(self):
         steady, varying = AnswerTimes(), AnswerTimes()
         for number in range(50):
             steady.note(8.0)
             varying.note(8.0 + 6.0 * (number % 2))
-        self.assertEqual(steady.wait_ms(), LEAST_WAIT_MS)
-        self.assertGreater(varying.wait_ms(), 20)
+        self.assertEqual(steady.timeout_ms(), MIN_TIMEOUT_MS)
+        self.assertGreater(varying.timeout_ms(), 20)
 
-    def test_each_try_without_an_answer_doubles_the_wait_up_to_the_longest(self):
+    def test_each_failed_attempt_doubles_the_timeout_up_to_the_maximum(self):
         times = AnswerTimes()
-        self.assertEqual(times.wait_ms(), MOST_WAIT_MS)
+        self.assertEqual(times.timeout_ms(), MAX_TIMEOUT_MS)
         times.note(2.0)
-        waits = [times.wait_ms(number) for number in range(3)]
-        self.assertEqual(waits, [LEAST_WAIT_MS, 2 * LEAST_WAIT_MS, MOST_WAIT_MS])
+        timeouts = [times.timeout_ms(number) for number in range(3)]
+        self.assertEqual(timeouts, [MIN_TIMEOUT_MS, 2 * MIN_TIMEOUT_MS, MAX_TIMEOUT_MS])
 
 
 class TestLostOrders(unittest.TestCase):
-    def test_a_lost_arm_holds_no_pass_beyond_the_pause_of_streams(self):
-        # Each switch of 72 ranks with a tenth of the answers lost held a pass of 60 ms
-        # for 100 ms more, and all streams of the group were late.
+    def test_lost_arm_orders_are_retried_within_the_streams_gap(self):
+        # With a tenth of the answers lost, each switch of 72 ranks held a pass of 60 ms
+        # for 100 ms longer, and all streams of the group were late.
         engine = Engine(report_ms=2.0, lost=2)
 
         async def play():
@@ -67,7 +67,7 @@
                 await agent.read_report()
             began_ms = engine.now_ms
             order = Order(0, OrderKind.ARM, 1, version=5, step=9)
-            result = await agent.give_order(order)
+            result = await agent.apply_order(order)
             return result, engine.now_ms - began_ms
 
         with mock.patch.object(rank_agent, "_now_ms", lambda: engine.now_ms):
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -5,7 +5,11 @@
 from fuchsiahatch_adapter.store import StoreClient
 from fuchsiahatch_core.clock import Clock
 from fuchsiahatch_core.exceptions import ConflictError
-from fuchsiahatch_gateway.leadership import REST_MS, LeaderRecord, Leadership
+from fuchsiahatch_gateway.leadership import (
+    ELECTION_RETRY_INTERVAL_MS,
+    LeaderRecord,
+    Leadership,
+)
 from fuchsiahatch_http1.client import ConnectionPool
 from fuchsiahatch_standins.fleet_store import FleetStore
 from tests.loopback import run
@@ -31,22 +35,22 @@
 
 
 class TestLeadership(unittest.TestCase):
-    def test_one_wins_and_terms_rise(self):
+    def test_one_candidate_wins_and_terms_rise(self):
         async def elect():
             async with Election() as election:
                 self.assertTrue(await election.one.try_win("g", 0, None))
                 self.assertFalse(await election.other.try_win("g", 0, None))
                 first = election.one.term
-                await election.one.give_up()
-                self.assertFalse(election.one.held)
-                await asyncio.sleep(REST_MS / 1000)
+                await election.one.release()
+                self.assertFalse(election.one.holds_lease)
+                await asyncio.sleep(ELECTION_RETRY_INTERVAL_MS / 1000)
                 self.assertTrue(await election.other.try_win("g", 0, None))
                 return first, election.other.term
 
         first, second = run(elect())
         self.assertGreater(second, first)
 
-    def test_an_earlier_life_of_ones_own_is_followed_at_once(self):
+    def test_an_agent_replaces_its_earlier_incarnation_at_once(self):
         async def elect():
             async with Election() as election:
                 await election.one.try_win("g", 0, None)
@@ -59,9 +63,9 @@
         first, second = run(elect())
         self.assertGreater(second, first)
 
-    def test_another_leaders_key_is_not_taken_away(self):
-        # Two leaders order one group: an agent that had just started deleted a key
-        # that it took for its own earlier life's, and that was another agent's.
+    def test_another_leaders_key_is_not_removed(self):
+        # An agent that has just started must not delete another agent's key as that of
+        # its earlier incarnation: two leaders would order one group.
         async def elect():
             async with Election() as election:
                 await election.other.try_win("g", 0, None)
@@ -73,33 +77,33 @@
 
         self.assertEqual(run(elect()), [KEY])
 
-    def test_an_agent_whose_watch_is_late_calls_the_store_seldom(self):
-        # All agents and entries are refused by the store: the watches of eight agents
-        # were late, and each of them tried to win fifty times a second.
+    def test_an_agent_whose_watch_is_late_rarely_calls_the_store(self):
+        # Eight agents with late watches that each try to win fifty times a second make
+        # the store refuse the calls of all agents and entries.
         async def elect():
             async with Election() as election:
                 await election.other.try_win("g", 0, None)
                 before = len(election.store.calls)
-                gone = LeaderRecord("g", 1, ("10.0.0.1", 7))
+                former = LeaderRecord("g", 1, ("10.0.0.1", 7))
                 for _ in range(50):
-                    await election.one.try_win("g", 0, gone)
+                    await election.one.try_win("g", 0, former)
                     await asyncio.sleep(0.01)
-                return len(election.store.calls) - before, election.one.found
+                return len(election.store.calls) - before, election.one.found_leader
 
-        calls, found = run(elect())
+        calls, leader = run(elect())
         self.assertLessEqual(calls, 4)
-        self.assertEqual(found.peer, ("10.0.0.2", 7))
+        self.assertEqual(leader.peer, ("10.0.0.2", 7))
 
-    def test_a_lease_that_is_not_renewed_ends_by_the_owners_own_clock(self):
+    def test_a_lease_that_is_not_renewed_ends_by_its_holders_clock(self):
         async def elect():
             async with Election() as election:
                 await election.one.try_win("g", 0, None)
-                renewing = asyncio.ensure_future(election.one.renew_for_ever())
+                renewing = asyncio.ensure_future(election.one.renew_forever())
                 await asyncio.sleep(1.8)
-                self.assertTrue(election.one.held)
+                self.assertTrue(election.one.holds_lease)
                 election.store.faults.silent = True
                 await asyncio.sleep(1.9)
                 renewing.cancel()
-                return election.one.held
+                return election.one.holds_lease
 
         self.assertFalse(run(elect()))
