--- a/packages/bench/src/fuchsiahatch_bench/experts.py
+++ b/packages/bench/src/fuchsiahatch_bench/experts.py
@@ -33,7 +33,7 @@
 from fuchsiahatch_experts.costs import (
     GERAK_BERSAMA,
     GERALDTON,
-    Weights,
+    CostWeights,
     find_prices,
     total_cost_ms,
 )
@@ -57,7 +57,7 @@
 
     deployment: str
     make: t.Callable[[int, int], Workload]
-    weights: Weights
+    weights: CostWeights
     size: Size
 
     @property
@@ -171,7 +171,7 @@
 
 
 def _summarise(
-    weights: Weights, runs: list[Run], still: list[Run], best_ms: t.Any
+    weights: CostWeights, runs: list[Run], still: list[Run], best_ms: t.Any
 ) -> dict[str, t.Any]:
     costs = np.array([_cost(weights, done) for done in runs])
     never_costs = np.array([_cost(weights, done) for done in still])
@@ -228,8 +228,8 @@
     }
 
 
-def _weights_of(ratio: float) -> Weights:
-    return Weights(skew=max(ratio, 1.0), move=max(1.0 / ratio, 1.0))
+def _weights_of(ratio: float) -> CostWeights:
+    return CostWeights(skew=max(ratio, 1.0), move=max(1.0 / ratio, 1.0))
 
 
 def _run(
@@ -240,7 +240,7 @@
     return run_policy(workload, scenario.size, policy)
 
 
-def _cost(weights: Weights, done: Run) -> float:
+def _cost(weights: CostWeights, done: Run) -> float:
     return total_cost_ms(weights, done.lost_ms, done.moved_ms)
 
 
--- a/packages/daemon/src/fuchsiahatch_daemon/steps.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/steps.py
@@ -24,7 +24,7 @@
     Send,
     StepDown,
 )
-from fuchsiahatch_experts.health import HealthWatch
+from fuchsiahatch_experts.health import StragglerDetector
 from fuchsiahatch_experts.leaders import Leader, Pace
 from fuchsiahatch_experts.terms import (
     CampaignEffect,
@@ -87,7 +87,7 @@
         silence_ms = settings.silence_ms + _STAGGER_MS * settings.rank
         self._candidate = Candidate(settings.rank, incarnation, silence_ms, now_ms)
         self._leader: Leader | None = None
-        self._health = HealthWatch()
+        self._health = StragglerDetector()
         self._wanted_map = _FIRST_MAP
         self._channels = Channels()
         self._tasks = Tasks()
@@ -130,7 +130,7 @@
             compute_ms.values()
         ):
             return
-        for change in self._health.look(compute_ms):
+        for change in self._health.check(compute_ms):
             self._name_stragglers(sorted(change.ranks))
 
     def _name_stragglers(self, ranks: t.Iterable[int]) -> None:
@@ -230,7 +230,7 @@
         )
         self._leader = leader
         # An earlier watch would not name again whom it has named before.
-        self._health = HealthWatch()
+        self._health = StragglerDetector()
         self._do_leader(leader, leader.tick())
 
     async def _read_wanted_map(self) -> None:
--- a/packages/experts/src/fuchsiahatch_experts/costs.py
+++ b/packages/experts/src/fuchsiahatch_experts/costs.py
@@ -36,7 +36,7 @@
     Attributes
     ----------
     expert_bytes : int
-        Weights of one expert of one layer.
+        Size of one expert's weights in one layer.
     rate_bytes_per_s : int
         Rate limit for the whole group.
     """
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Weights:
+class CostWeights:
     """How much a deployment minds each kind of lost second.
 
     Attributes
@@ -79,9 +79,9 @@
 
 #: A straggler holds back each reply of an evening rush, and weights are fetched
 #: beside the serving; see docs/design/rebalancing.md for both ratios.
-GERAK_BERSAMA = Weights(skew=4.0, move=1.0)
+GERAK_BERSAMA = CostWeights(skew=4.0, move=1.0)
 #: A run is short and a second spent fetching is lost for writing briefs.
-GERALDTON = Weights(skew=1.0, move=4.0)
+GERALDTON = CostWeights(skew=1.0, move=4.0)
 
 
 def layer_skew(
@@ -117,12 +117,12 @@
     return move_bytes(store, current, target) * 1_000 / store.rate_bytes_per_s
 
 
-def find_prices(weights: Weights, store: WeightStore) -> Prices:
+def find_prices(weights: CostWeights, store: WeightStore) -> Prices:
     """Return a deployment's prices per millisecond of skew and per expert."""
     fetch_ms = store.expert_bytes * 1_000 / store.rate_bytes_per_s
     return Prices(weights.skew, weights.move * fetch_ms)
 
 
-def total_cost_ms(weights: Weights, lost_ms: float, moved_ms: float) -> float:
+def total_cost_ms(weights: CostWeights, lost_ms: float, moved_ms: float) -> float:
     """Return the weighted sum of time lost to skew and time spent fetching."""
     return weights.skew * lost_ms + weights.move * moved_ms
--- a/packages/experts/src/fuchsiahatch_experts/drift.py
+++ b/packages/experts/src/fuchsiahatch_experts/drift.py
@@ -146,12 +146,12 @@
     def forget_shifted(self) -> None:
         """Let the layers whose demand has shifted forget what was before."""
         change = np.abs(_normal(self._recent) - _normal(self.weights)).sum(axis=1)
-        shifted = change > self._shift_change()
+        shifted = change > self._shift_threshold()
         self.weights[shifted] = self._recent[shifted]
         self.shifts += int(shifted.sum())
         self._note_usual(float(np.median(change)))
 
-    def _shift_change(self) -> float:
+    def _shift_threshold(self) -> float:
         """Return the difference of a layer that counts as a shift of it."""
         least = max(SHIFT_TIMES_USUAL * self._usual_change, LEAST_SHIFT_CHANGE)
         return min(least, SHIFT_CHANGE)
--- a/packages/experts/src/fuchsiahatch_experts/health.py
+++ b/packages/experts/src/fuchsiahatch_experts/health.py
@@ -81,7 +81,7 @@
         return self.compute_ms
 
 
-class HealthWatch:
+class StragglerDetector:
     """Names stragglers once they have been slow for some looks in a row.
 
     Parameters
@@ -104,7 +104,7 @@
         self._runs: dict[int, int] = {}
         self.stragglers: frozenset[int] = frozenset()
 
-    def look(self, compute_ms: t.Mapping[int, float]) -> list[StragglersChanged]:
+    def check(self, compute_ms: t.Mapping[int, float]) -> list[StragglersChanged]:
         """Compare the ranks once; return an effect when the names change."""
         slow = find_slow_ranks(compute_ms, self._slow_percent)
         # Guards against one long step, such as a garbage collection: the rank
--- a/packages/experts/src/fuchsiahatch_experts/planning.py
+++ b/packages/experts/src/fuchsiahatch_experts/planning.py
@@ -26,7 +26,7 @@
 #: left as they are: copies would cost more than faster passes bring. It saved a third
 #: of the copies of a calm day (1,879 to 1,205 GB) at the same share of requests in time
 #: (0.977 and 0.976).
-EASY_PASS_SHARE = 0.42
+SHORT_PASS_SHARE = 0.42
 #: Share of that pause up to which a change must bring `EASY_GAIN`. Each change is a
 #: moment in which ranks that answer late hold a pass, and with it all streams; streams
 #: whose passes are far below the pause gain nothing by shorter ones.
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Passes:
+class PassTiming:
     """What is known of a group's passes.
 
     Attributes
@@ -154,7 +154,7 @@
         self.copies_per_rank = 0
         self.expected_ms = 0.0
 
-    def count(self, rank: int, running: int, choices: bytes, now_ms: int) -> None:
+    def add_choices(self, rank: int, running: int, choices: bytes, now_ms: int) -> None:
         """Take in how often a rank's requests chose each expert.
 
         Parameters
@@ -182,12 +182,12 @@
         looked_ms = self._forecast.looked_ms
         return looked_ms is None or now_ms - looked_ms >= LOOK_PAUSE_MS
 
-    def look(
+    def start_search(
         self,
         epoch: int,
         version: int,
         placement: "Placement",
-        passes: Passes,
+        passes: PassTiming,
         most_copies: int,
         now_ms: int,
     ) -> PlanSearch | None:
@@ -199,7 +199,7 @@
             Of the map in force; they name it.
         placement : Placement
             That map.
-        passes : Passes
+        passes : PassTiming
         most_copies : int
             Copies of a rank that a change's orders have room for.
         now_ms : int
@@ -209,7 +209,7 @@
         known = self._lay_out(epoch, version, placement)
         skew = expected_skew(known, self.demand, passes.paces)
         self.expected_ms = self._forecast.expect_ms(passes.pass_ms, skew, now_ms)
-        if self.expected_ms < EASY_PASS_SHARE * passes.gap_ms:
+        if self.expected_ms < SHORT_PASS_SHARE * passes.gap_ms:
             return None
         if self._would_be_vain(skew, now_ms):
             return None
--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -35,7 +35,7 @@
     from fuchsiahatch_adapter.model_engine import ModelEngine
     from fuchsiahatch_core.clock import Clock
     from fuchsiahatch_experts.drift import Plan
-    from fuchsiahatch_experts.planning import Passes
+    from fuchsiahatch_experts.planning import PassTiming
 
 #: Age up to which an agent's word that it obeys this term counts. States come each
 #: 100 ms, and one of them may be lost.
@@ -325,7 +325,7 @@
         else:
             self._obeyed_ms.pop(rank, None)
 
-    def _start(self, plan: "Plan", passes: "Passes") -> bool:
+    def _start(self, plan: "Plan", passes: "PassTiming") -> bool:
         """Begin to switch to a planned map; return whether that was done."""
         # A standby whose agent is silent could agree to no commit.
         standby = self._silent.heard_behind(self._rank)
--- a/packages/gateway/src/fuchsiahatch_gateway/plan_searches.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/plan_searches.py
@@ -12,7 +12,7 @@
     from fuchsiahatch_adapter.configuration import Engine
     from fuchsiahatch_core.clock import Clock
     from fuchsiahatch_experts.drift import Plan, PlanSearch
-    from fuchsiahatch_experts.planning import MapPlanner, Passes
+    from fuchsiahatch_experts.planning import MapPlanner, PassTiming
     from fuchsiahatch_experts.switching import Switch
     from fuchsiahatch_gateway.datagrams import RankState
 
@@ -63,7 +63,7 @@
         ranks: int,
         switch: "Switch",
         clock: "Clock",
-        on_plan: t.Callable[["Plan", "Passes"], bool],
+        on_plan: t.Callable[["Plan", "PassTiming"], bool],
     ) -> None:
         self._group = group
         self._ranks = ranks
@@ -103,7 +103,7 @@
         try:
             choices = zlib.decompress(state.choices)
             planner = self._planner or self._make_planner(engine)
-            planner.count(state.report.rank, state.running, choices, now_ms)
+            planner.add_choices(state.report.rank, state.running, choices, now_ms)
         except (zlib.error, ValueError) as fault:
             log_event(Event.DATAGRAM_DROPPED, detail=f"choices: {fault}")
 
@@ -129,11 +129,11 @@
         placement, version = self._switch.placement, self._switch.map_version
         if placement is None or version is None:
             return
-        from fuchsiahatch_experts.planning import Passes
+        from fuchsiahatch_experts.planning import PassTiming
 
         paces = [self._paces.get(rank, 1.0) for rank in range(self._ranks)]
-        passes = Passes(pass_ms, self.gap_ms, paces)
-        search = planner.look(
+        passes = PassTiming(pass_ms, self.gap_ms, paces)
+        search = planner.start_search(
             self._switch.epoch, version, placement, passes, most_copies, now_ms
         )
         if search is not None:
@@ -168,7 +168,7 @@
         return self._planner
 
     async def _search(
-        self, search: "PlanSearch", version: int, passes: "Passes"
+        self, search: "PlanSearch", version: int, passes: "PassTiming"
     ) -> None:
         """Search for a plan bit by bit, reading what comes in between."""
         try:
@@ -184,7 +184,7 @@
         if self._on_plan(plan, passes):
             self._log_plan(plan, passes)
 
-    def _log_plan(self, plan: "Plan", passes: "Passes") -> None:
+    def _log_plan(self, plan: "Plan", passes: "PassTiming") -> None:
         planner = self._planner
         assert planner is not None
         log_event(
--- a/tests/experts/test_costs.py
+++ b/tests/experts/test_costs.py
@@ -3,8 +3,8 @@
 import numpy as np
 
 from fuchsiahatch_experts.costs import (
+    CostWeights,
     StepShape,
-    Weights,
     WeightStore,
     find_prices,
     layer_skew,
@@ -46,9 +46,9 @@
 
 class TestWeights(unittest.TestCase):
     def test_total_cost(self):
-        weights = Weights(skew=4.0, move=1.0)
+        weights = CostWeights(skew=4.0, move=1.0)
         self.assertEqual(total_cost_ms(weights, 100.0, 50.0), 450.0)
 
     def test_price_of_one_expert(self):
-        prices = find_prices(Weights(skew=2.0, move=3.0), STORE)
+        prices = find_prices(CostWeights(skew=2.0, move=3.0), STORE)
         self.assertEqual((prices.skew, prices.move_ms), (2.0, 600.0))
--- a/tests/experts/test_health.py
+++ b/tests/experts/test_health.py
@@ -1,9 +1,9 @@
 import unittest
 
 from fuchsiahatch_experts.health import (
-    HealthWatch,
     Smoother,
     StepTime,
+    StragglerDetector,
     StragglersChanged,
     find_slow_ranks,
 )
@@ -41,12 +41,12 @@
         self.assertEqual(find_slow_ranks({0: 4.0, 1: 9.0}), {1})
 
 
-class TestHealthWatch(unittest.TestCase):
+class TestStragglerDetector(unittest.TestCase):
     def setUp(self):
-        self.watch = HealthWatch(looks=3)
+        self.detector = StragglerDetector(looks=3)
 
-    def look(self, *compute_ms):
-        return self.watch.look(dict(enumerate(compute_ms)))
+    def check(self, *compute_ms):
+        return self.detector.check(dict(enumerate(compute_ms)))
 
     def test_one_long_look_names_nobody(self):
         """A rank is named for one garbage collection and loses its requests.
@@ -55,13 +55,13 @@
         is named only after several slow looks in a row.
         """
         for _ in range(4):
-            self.assertEqual(self.look(4, 4, 9), [])
-            self.assertEqual(self.look(4, 4, 4), [])
+            self.assertEqual(self.check(4, 4, 9), [])
+            self.assertEqual(self.check(4, 4, 4), [])
 
     def test_a_lasting_one_is_named_once_and_cleared_once(self):
-        named = [self.look(4, 4, 9) for _ in range(5)]
+        named = [self.check(4, 4, 9) for _ in range(5)]
         self.assertEqual(named, [[], [], [StragglersChanged(frozenset({2}))], [], []])
-        cleared = [self.look(4, 4, 4) for _ in range(5)]
+        cleared = [self.check(4, 4, 4) for _ in range(5)]
         self.assertEqual(cleared, [[], [], [StragglersChanged(frozenset())], [], []])
 
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -95,14 +95,14 @@
     Mechanism(
         "shift detection",
         f"{EXPERTS}/drift.py",
-        "        shifted = change > self._shift_change()",
+        "        shifted = change > self._shift_threshold()",
         "        shifted = change > 9.0",
     ),
     Mechanism(
         "easy passes left alone",
         f"{EXPERTS}/planning.py",
-        "EASY_PASS_SHARE = 0.42",
-        "EASY_PASS_SHARE = 0.0",
+        "SHORT_PASS_SHARE = 0.42",
+        "SHORT_PASS_SHARE = 0.0",
     ),
     Mechanism(
         "failures' cost",
