--- a/packages/experts/src/fuchsiahatch_experts/health.py
+++ b/packages/experts/src/fuchsiahatch_experts/health.py
@@ -1,13 +1,13 @@
-"""Rank health: naming a straggler from its own compute time."""
+"""Rank health: detecting stragglers by their compute time."""
 
 import dataclasses
 import statistics
 import typing as t
 
-#: A rank whose compute time is this many percent of the others' median is slow.
+#: A rank is slow above this percentage of the other ranks' median compute time.
 SLOW_PERCENT = 130
-#: Looks in a row after which a slow rank is named, and a named one cleared.
-LOOKS = 5
+#: Consecutive checks after which a rank is added to or removed from the stragglers.
+MIN_CONSECUTIVE_CHECKS = 5
 _WHOLE_PERCENT = 100
 
 
@@ -18,10 +18,11 @@
     Attributes
     ----------
     compute_ms : float
-        Time that the rank itself computed.
+        Time that the rank spent computing.
     wait_ms : float
-        Time that it waited for the others at the step's end. All ranks of a
-        lock-step group show the same sum; only this split tells who is slow.
+        Time that it waited for the other ranks at the end of the step. The sum of
+        both is the same on all ranks of a lock-step group, so that only the compute
+        time identifies a slow rank.
     """
 
     compute_ms: float
@@ -30,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StragglersChanged:
-    """Effect: the ranks that straggle now, for `AgentReport.stragglers`."""
+    """Effect: the current stragglers, for `AgentReport.stragglers`."""
 
     ranks: frozenset[int]
 
@@ -38,14 +39,14 @@
 def find_slow_ranks(
     compute_ms: t.Mapping[int, float], slow_percent: float = SLOW_PERCENT
 ) -> frozenset[int]:
-    """Return the ranks that compute for much longer than the others.
+    """Return the ranks whose compute time is far above that of the others.
 
     Parameters
     ----------
     compute_ms : mapping of int to float
         Smoothed compute time per step by rank.
     slow_percent : float
-        From how many percent of the other ranks' median a rank is slow.
+        Percentage of the other ranks' median above which a rank is slow.
     """
     return frozenset(
         rank
@@ -55,12 +56,12 @@
 
 
 class Smoother:
-    """Smooths one rank's compute time over its steps.
+    """Exponentially weighted mean of one rank's compute time per step.
 
     Parameters
     ----------
     weight : float
-        Weight of the newest step, above 0 and up to 1.
+        Weight of the latest step, above 0 and up to 1.
 
     Notes
     -----
@@ -74,7 +75,7 @@
         self.compute_ms = 0.0
 
     def add(self, step: StepTime) -> float:
-        """Take one step and return the smoothed compute time."""
+        """Add one step and return the smoothed compute time."""
         if not self.compute_ms:
             self.compute_ms = step.compute_ms
         self.compute_ms += self._weight * (step.compute_ms - self.compute_ms)
@@ -82,41 +83,47 @@
 
 
 class StragglerDetector:
-    """Names stragglers once they have been slow for some looks in a row.
+    """Reports stragglers once they have been slow in several consecutive checks.
 
     Parameters
     ----------
     slow_percent : float
         As for `find_slow_ranks`.
-    looks : int
-        Looks in a row before a rank is named or cleared.
+    checks : int
+        Consecutive checks before a rank is added to or removed from the stragglers.
 
     Notes
     -----
     .. versionadded:: 0.1
     """
 
-    __slots__ = ("_looks", "_runs", "_slow_percent", "stragglers")
+    __slots__ = ("_checks", "_consecutive", "_slow_percent", "stragglers")
 
-    def __init__(self, slow_percent: float = SLOW_PERCENT, looks: int = LOOKS) -> None:
+    def __init__(
+        self, slow_percent: float = SLOW_PERCENT, checks: int = MIN_CONSECUTIVE_CHECKS
+    ) -> None:
         self._slow_percent = slow_percent
-        self._looks = looks
-        self._runs: dict[int, int] = {}
+        self._checks = checks
+        self._consecutive: dict[int, int] = {}
         self.stragglers: frozenset[int] = frozenset()
 
     def check(self, compute_ms: t.Mapping[int, float]) -> list[StragglersChanged]:
-        """Compare the ranks once; return an effect when the names change."""
+        """Compare the ranks once; return an effect when the stragglers change."""
         slow = find_slow_ranks(compute_ms, self._slow_percent)
-        # Guards against one long step, such as a garbage collection: the rank
-        # would be named, lose its requests and get them back, over and over.
+        # A single long step, such as one with a garbage collection, doesn't count:
+        # the rank would lose its requests and get them back, again and again.
         differing = slow ^ self.stragglers
-        self._runs = {rank: self._runs.get(rank, 0) + 1 for rank in differing}
-        turned = {rank for rank, run in self._runs.items() if run >= self._looks}
-        if not turned:
+        self._consecutive = {
+            rank: self._consecutive.get(rank, 0) + 1 for rank in differing
+        }
+        changed = {
+            rank for rank, count in self._consecutive.items() if count >= self._checks
+        }
+        if not changed:
             return []
-        self.stragglers ^= turned
-        for rank in turned:
-            del self._runs[rank]
+        self.stragglers ^= changed
+        for rank in changed:
+            del self._consecutive[rank]
         return [StragglersChanged(self.stragglers)]
 
 
