--- a/packages/experts/src/fuchsiahatch_experts/pass_forecast.py
+++ b/packages/experts/src/fuchsiahatch_experts/pass_forecast.py
@@ -1,20 +1,20 @@
-"""What a group's passes will take, before they have been measured."""
+"""Forecast of the length of a group's passes from the skew of its map."""
 
 import collections
 
-#: Age of the demand that the measured time of passes is of: it is a mean over windows.
-#: Without a forecast a shift of demand was followed by the first change of map after
-#: 0.44 s in the mean (ten shifts of a day's log), and with it after 0.24 s.
+#: Delay of the measured pass time, which is a mean over windows. Without a forecast the
+#: first change of map came 0.44 s after a shift of demand, the mean of ten shifts; with
+#: it, 0.24 s.
 PASS_LAG_MS = 300
 
 
 class PassForecast:
-    """Tells from the expected skew how long passes will be.
+    """Predicts the length of passes from the expected skew.
 
     Parameters
     ----------
     expert_share : float
-        Share of a pass that is the experts'.
+        Share of a pass that is spent in expert layers.
     """
 
     __slots__ = ("_expert_share", "_skews")
@@ -24,19 +24,19 @@
         self._skews: collections.deque[tuple[int, float]] = collections.deque()
 
     @property
-    def looked_ms(self) -> int | None:
-        """When a skew was last noted."""
+    def updated_ms(self) -> int | None:
+        """Time of the latest update, if there was one."""
         return self._skews[-1][0] if self._skews else None
 
-    def expect_ms(self, pass_ms: float, skew: float, now_ms: int) -> float:
-        """Note the skew of now and return what passes will take.
+    def predict_ms(self, pass_ms: float, skew: float, now_ms: int) -> float:
+        """Record the current skew and return the predicted length of passes.
 
         Parameters
         ----------
         pass_ms : float
-            As measured of late.
+            Latest measured length of a pass.
         skew : float
-            Most loaded rank over the mean, as the demand of now makes it.
+            Highest load of a rank over the mean, for the current demand.
         now_ms : int
         """
         skews = self._skews
--- a/packages/experts/src/fuchsiahatch_experts/planning.py
+++ b/packages/experts/src/fuchsiahatch_experts/planning.py
@@ -179,8 +179,8 @@
 
     def is_due(self, now_ms: int) -> bool:
         """Return whether to look at the demand now."""
-        looked_ms = self._forecast.looked_ms
-        return looked_ms is None or now_ms - looked_ms >= LOOK_PAUSE_MS
+        updated_ms = self._forecast.updated_ms
+        return updated_ms is None or now_ms - updated_ms >= LOOK_PAUSE_MS
 
     def start_search(
         self,
@@ -208,7 +208,7 @@
             return None
         known = self._lay_out(epoch, version, placement)
         skew = expected_skew(known, self.demand, passes.paces)
-        self.expected_ms = self._forecast.expect_ms(passes.pass_ms, skew, now_ms)
+        self.expected_ms = self._forecast.predict_ms(passes.pass_ms, skew, now_ms)
         if self.expected_ms < SHORT_PASS_SHARE * passes.gap_ms:
             return None
         if self._would_be_vain(skew, now_ms):
