--- a/packages/experts/src/fuchsiahatch_experts/popularity.py
+++ b/packages/experts/src/fuchsiahatch_experts/popularity.py
@@ -1,4 +1,4 @@
-"""A running estimate of how much load each expert draws."""
+"""Running estimate of each expert's share of the load."""
 
 import typing as t
 
@@ -15,39 +15,39 @@
     ----------
     layers, experts : int
     half_life_ms : float
-        Age at which a count weighs half as much as a fresh one.
+        Age at which a count has half the weight of a new one.
 
     Notes
     -----
-    Counts are turned into shares before they are averaged, so that a busy step
-    does not outweigh the quiet ones beside it.
+    Counts are normalized to shares before they are averaged, so that a step with many
+    tokens does not outweigh steps with few.
 
     .. versionadded:: 0.1
     """
 
-    __slots__ = ("_half_life_ms", "_seen_ms", "shares")
+    __slots__ = ("_half_life_ms", "_updated_ms", "shares")
 
     def __init__(self, layers: int, experts: int, half_life_ms: float) -> None:
         self._half_life_ms = half_life_ms
-        self._seen_ms: int | None = None
+        self._updated_ms: int | None = None
         self.shares = np.full((layers, experts), 1.0 / experts)
 
     def observe(self, counts: "npt.NDArray[t.Any]", now_ms: int) -> None:
-        """Take in the token counts of the steps since the last call.
+        """Add the token counts of the steps since the last call.
 
         Parameters
         ----------
         counts : ndarray, shape (layers, experts)
-            Tokens that each expert was given; layers without tokens are skipped.
+            Tokens routed to each expert; layers without tokens keep their estimate.
         now_ms : int
         """
         totals = counts.sum(axis=1, keepdims=True)
-        fresh = np.where(totals > 0, counts / np.maximum(totals, 1), self.shares)
-        kept = self._kept(now_ms)
-        self.shares = kept * self.shares + (1.0 - kept) * fresh
-        self._seen_ms = now_ms
+        observed = np.where(totals > 0, counts / np.maximum(totals, 1), self.shares)
+        retained = self._retained_share(now_ms)
+        self.shares = retained * self.shares + (1.0 - retained) * observed
+        self._updated_ms = now_ms
 
-    def _kept(self, now_ms: int) -> float:
-        if self._seen_ms is None:
+    def _retained_share(self, now_ms: int) -> float:
+        if self._updated_ms is None:
             return 0.0
-        return 0.5 ** ((now_ms - self._seen_ms) / self._half_life_ms)
+        return 0.5 ** ((now_ms - self._updated_ms) / self._half_life_ms)
--- a/tests/experts/test_popularity.py
+++ b/tests/experts/test_popularity.py
@@ -6,12 +6,12 @@
 
 
 class TestPopularityEstimate(unittest.TestCase):
-    def test_first_counts_are_taken_whole(self):
+    def test_first_counts_replace_the_initial_estimate(self):
         estimate = PopularityEstimate(1, 2, half_life_ms=1_000)
         estimate.observe(np.array([[30, 10]]), 0)
         self.assertEqual(estimate.shares.tolist(), [[0.75, 0.25]])
 
-    def test_half_is_kept_after_a_half_life(self):
+    def test_half_is_retained_after_a_half_life(self):
         estimate = PopularityEstimate(1, 2, half_life_ms=1_000)
         estimate.observe(np.array([[10, 0]]), 0)
         estimate.observe(np.array([[0, 70]]), 1_000)
