--- a/packages/experts/src/fuchsiahatch_experts/costs.py
+++ b/packages/experts/src/fuchsiahatch_experts/costs.py
@@ -1,4 +1,4 @@
-"""What a map and a change of map cost: lost step time and weight transfer."""
+"""Costs of a map and of changing it: lost step time and weight transfer."""
 
 import dataclasses
 import typing as t
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepShape:
-    """Time of one step on ranks that are all equally loaded.
+    """Duration of one step on equally loaded ranks.
 
     Attributes
     ----------
     fixed_ms : float
         Attention, sampling and exchange; the same on every rank.
     expert_ms : float
-        Expert layers together; grows with the most loaded rank.
+        All expert layers; grows with the load of the most loaded rank.
     """
 
     fixed_ms: float
@@ -47,12 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CostWeights:
-    """How much a deployment minds each kind of lost second.
+    """Weights of the kinds of lost time in a deployment's total cost.
 
     Attributes
     ----------
     skew : float
-        Per second that steps take longer than on equally loaded ranks.
+        Per second by which steps exceed those on equally loaded ranks.
     move : float
         Per second in which weights are fetched.
     """
@@ -77,17 +77,17 @@
     move_ms: float
 
 
-#: A straggler holds back each reply of an evening rush, and weights are fetched
-#: beside the serving; see docs/design/rebalancing.md for both ratios.
+#: A straggler delays every reply during the evening peak, and weights are fetched while
+#: requests are served; docs/design/rebalancing.md explains both ratios.
 GERAK_BERSAMA = CostWeights(skew=4.0, move=1.0)
-#: A run is short and a second spent fetching is lost for writing briefs.
+#: Runs are short, and a second spent fetching weights is lost for writing briefs.
 GERALDTON = CostWeights(skew=1.0, move=4.0)
 
 
 def layer_skew(
     expert_map: "ExpertMap", popularity: "npt.NDArray[np.float64]"
 ) -> "npt.NDArray[np.float64]":
-    """Return the most loaded rank over the mean, per layer.
+    """Return the highest load of a rank over the mean, per layer.
 
     Returns
     -------
@@ -103,7 +103,7 @@
 def step_ms(
     shape: StepShape, expert_map: "ExpertMap", popularity: "npt.NDArray[np.float64]"
 ) -> float:
-    """Return the time of one step; ranks wait for the slowest in every layer."""
+    """Return the duration of a step; ranks wait for the slowest in every layer."""
     return shape.fixed_ms + shape.expert_ms * layer_skew(expert_map, popularity).mean()
 
 
@@ -113,7 +113,7 @@
 
 
 def move_ms(store: WeightStore, current: "ExpertMap", target: "ExpertMap") -> float:
-    """Return how long the fetching takes at the store's rate limit."""
+    """Return the time to fetch them at the store's rate limit."""
     return move_bytes(store, current, target) * 1_000 / store.rate_bytes_per_s
 
 
--- a/tests/experts/test_costs.py
+++ b/tests/experts/test_costs.py
@@ -23,11 +23,11 @@
 
 
 class TestSkew(unittest.TestCase):
-    def test_highest_over_mean_in_each_layer(self):
+    def test_skew_is_the_highest_load_over_the_mean_in_each_layer(self):
         self.assertEqual(layer_skew(APART, POPULARITY).tolist(), [1.5, 1.0])
         self.assertEqual(layer_skew(BOTH, POPULARITY).tolist(), [1.0, 1.0])
 
-    def test_no_load(self):
+    def test_a_layer_without_load_has_no_skew(self):
         self.assertEqual(layer_skew(APART, np.zeros((2, 2))).tolist(), [1.0, 1.0])
 
     def test_step_waits_for_the_slowest_in_each_layer(self):
