--- a/packages/experts/src/fuchsiahatch_experts/packing.py
+++ b/packages/experts/src/fuchsiahatch_experts/packing.py
@@ -75,7 +75,7 @@
     return replicas
 
 
-def improve_within(
+def improve_within_budget(
     current: ExpertMap,
     popularity: "Floats",
     slots: int,
--- a/packages/experts/src/fuchsiahatch_experts/planning.py
+++ b/packages/experts/src/fuchsiahatch_experts/planning.py
@@ -6,13 +6,13 @@
 import numpy as np
 
 from fuchsiahatch_experts.drift import (
-    LEAST_TOTAL_GAIN,
+    MIN_TOTAL_GAIN,
     Demand,
-    GroupMap,
+    IndexedMap,
     PlanSearch,
     copies_in_a_pass,
+    decay_time_for,
     expected_skew,
-    memory_for,
     plan_change,
 )
 from fuchsiahatch_experts.pass_forecast import PassForecast
@@ -42,7 +42,7 @@
 VAIN_PAUSE_MS = 250
 #: Growth of the skew over that of the last plan that didn't pay behind which another
 #: one is made at once: half of what a change must bring.
-GROWTH_BY_PLAN = LEAST_TOTAL_GAIN / 2
+GROWTH_BY_PLAN = MIN_TOTAL_GAIN / 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
     gap_ms : float
         Shortest pause that routes allow between two events; 0 where there is none.
     """
-    return EASY_GAIN if pass_ms < NEAR_PASS_SHARE * gap_ms else LEAST_TOTAL_GAIN
+    return EASY_GAIN if pass_ms < NEAR_PASS_SHARE * gap_ms else MIN_TOTAL_GAIN
 
 
 class MapPlanner:
@@ -147,7 +147,7 @@
         self._layout = layout
         self._forecast = PassForecast(layout.share)
         self._running: dict[int, int] = {}
-        self._known: GroupMap | None = None
+        self._known: IndexedMap | None = None
         self._version = (-1, -1)
         self._vain: _VainPlan | None = None
         self.demand = Demand(layout.layers, layout.experts)
@@ -174,7 +174,7 @@
         counts = np.frombuffer(choices, dtype=np.uint8).reshape(shape)
         sums = np.maximum(counts.sum(axis=1, keepdims=True), 1)
         self._running[rank] = running
-        self.demand.memory_ms = memory_for(sum(self._running.values()))
+        self.demand.decay_time_ms = decay_time_for(sum(self._running.values()))
         self.demand.add(counts / sums, running, now_ms)
 
     def is_due(self, now_ms: int) -> bool:
@@ -229,9 +229,9 @@
             least_gain(self.expected_ms, passes.gap_ms),
         )
 
-    def _lay_out(self, epoch: int, version: int, placement: "Placement") -> GroupMap:
+    def _lay_out(self, epoch: int, version: int, placement: "Placement") -> IndexedMap:
         if self._known is None or self._version != (epoch, version):
-            self._known = GroupMap(placement, self._layout.experts)
+            self._known = IndexedMap(placement, self._layout.experts)
             self._version = (epoch, version)
         return self._known
 
--- a/tests/experts/test_drift.py
+++ b/tests/experts/test_drift.py
@@ -4,15 +4,15 @@
 
 from fuchsiahatch_experts import drift
 from fuchsiahatch_experts.drift import (
-    FEW_REQUESTS,
-    MEMORY_MS,
+    DECAY_TIME_MS,
+    SMALL_GROUP_REQUESTS,
     Demand,
-    GroupMap,
+    IndexedMap,
     as_map,
     as_placement,
     copies_in_a_pass,
-    finish,
-    memory_for,
+    decay_time_for,
+    finish_search,
     plan_change,
 )
 from fuchsiahatch_experts.maps import check_map, count_moves, rank_loads
@@ -25,8 +25,8 @@
     return (layer,) * LAYERS
 
 
-def laid_out(placement):
-    return GroupMap(placement, EXPERTS)
+def indexed(placement):
+    return IndexedMap(placement, EXPERTS)
 
 
 def shares(hot):
@@ -42,7 +42,7 @@
         return demand
 
     def test_a_plan_lowers_the_skew_by_few_copies(self):
-        plan = finish(plan_change(laid_out(first_map()), self.make(), PLACES))
+        plan = finish_search(plan_change(indexed(first_map()), self.make(), PLACES))
         self.assertLess(plan.skew_after, plan.skew_before)
         before, after = as_map(first_map(), EXPERTS), as_map(plan.placement, EXPERTS)
         check_map(after, PLACES)
@@ -50,28 +50,30 @@
         self.assertLessEqual(new.sum(axis=(0, 1)).max(), drift.COPIES_PER_RANK)
         self.assertEqual(count_moves(before, after).sum(), plan.copies)
 
-    def test_nothing_moves_for_little(self):
+    def test_an_even_demand_gets_no_plan(self):
         demand = Demand(LAYERS, EXPERTS)
         demand.add(np.full((LAYERS, EXPERTS), 1 / EXPERTS), 6, 0)
-        self.assertIsNone(finish(plan_change(laid_out(first_map()), demand, PLACES)))
+        self.assertIsNone(
+            finish_search(plan_change(indexed(first_map()), demand, PLACES))
+        )
 
-    def test_plans_come_to_an_end(self):
+    def test_a_steady_demand_ends_in_no_more_plans(self):
         placement, demand = first_map(), self.make()
         for _ in range(30):
-            plan = finish(plan_change(laid_out(placement), demand, PLACES))
+            plan = finish_search(plan_change(indexed(placement), demand, PLACES))
             if plan is None:
                 return
             placement = plan.placement
-        self.fail("a steady demand is never satisfied")
+        self.fail("plans for a steady demand don't end")
 
     def test_a_slow_rank_is_relieved(self):
-        # All streams of a group crawl: one rank works at a fifth of its pace, and all
-        # others wait for it in each pass.
+        # Unrelieved, a rank at a fifth of its usual speed slows down all streams of the
+        # group, as all other ranks wait for it in each pass.
         demand = Demand(LAYERS, EXPERTS)
         demand.add(np.full((LAYERS, EXPERTS), 1 / EXPERTS), 6, 0)
         placement, paces = first_map(), [5.0, 1.0, 1.0, 1.0]
         for _ in range(20):
-            plan = finish(plan_change(laid_out(placement), demand, PLACES, paces))
+            plan = finish_search(plan_change(indexed(placement), demand, PLACES, paces))
             if plan is None:
                 break
             self.assertLess(plan.skew_after, plan.skew_before)
@@ -81,16 +83,16 @@
         self.assertLess(loads[:, 0].max(), 0.4 * loads[:, 1].max())
 
     def test_a_slow_rank_is_relieved_in_one_change_where_passes_are_long(self):
-        # All streams of a service crawl for 3.7 s: its passes took a second, and each
-        # change of map, of one copy a rank, waited for two of them.
+        # With one copy per rank and change, all streams of a service are slow for
+        # 3.7 s: passes take a second, and each change of map waits for two of them.
         demand = Demand(LAYERS, EXPERTS)
         demand.add(np.full((LAYERS, EXPERTS), 1 / EXPERTS), 6, 0)
         paces = [12.0, 1.0, 1.0, 1.0]
         copies = copies_in_a_pass(1_000.0, 98.0, 3 * LAYERS)
         self.assertEqual(copies, 3 * LAYERS)
-        few = finish(plan_change(laid_out(first_map()), demand, PLACES, paces))
-        many = finish(
-            plan_change(laid_out(first_map()), demand, PLACES, paces, copies, 3)
+        few = finish_search(plan_change(indexed(first_map()), demand, PLACES, paces))
+        many = finish_search(
+            plan_change(indexed(first_map()), demand, PLACES, paces, copies, 3)
         )
         self.assertLess(many.skew_after, 0.6 * few.skew_after)
         after = as_map(many.placement, EXPERTS)
@@ -104,15 +106,15 @@
         self.assertEqual(copies_in_a_pass(9_000.0, 98.0, 12), 12)
         self.assertEqual(copies_in_a_pass(300.0, 0.0, 12), drift.COPIES_PER_RANK)
 
-    def test_a_placement_comes_back_as_it_was(self):
+    def test_a_placement_survives_conversion(self):
         self.assertEqual(as_placement(as_map(first_map(), EXPERTS)), first_map())
 
 
-class TestMemory(unittest.TestCase):
+class TestDecayTime(unittest.TestCase):
     def follow(self, requests):
-        """Return the share of a new demand 0.3 s behind a small move of it."""
+        """Return the share of a new demand 0.3 s after a small shift to it."""
         demand = Demand(LAYERS, EXPERTS)
-        demand.memory_ms = memory_for(requests)
+        demand.decay_time_ms = decay_time_for(requests)
         for at_ms in range(0, 2_000, 20):
             demand.add(shares(3), 6, at_ms)
         for at_ms in range(2_000, 2_300, 20):
@@ -121,21 +123,21 @@
         return float(new.min())
 
     def test_a_large_group_follows_sooner(self):
-        # Half of all briefs stand still for 160 ms and more on a day of high load: for
-        # a second behind each move of the demand a group of 32 ranks made its maps for
-        # a mixture of what was and what is, as if it had the few requests of 8 ranks.
+        # With the time constant of 8 ranks' few requests, a group of 32 ranks makes its
+        # maps for a mixture of old and new demand for a second after each shift, and
+        # half of all briefs pause for 160 ms and more on a day of high load.
         self.assertGreater(self.follow(120), 0.5)
 
-    def test_a_small_group_forgets_as_before(self):
-        self.assertEqual(memory_for(0), MEMORY_MS)
-        self.assertEqual(memory_for(FEW_REQUESTS), MEMORY_MS)
-        self.assertLess(self.follow(FEW_REQUESTS), 0.4)
+    def test_a_small_group_keeps_the_longest_time_constant(self):
+        self.assertEqual(decay_time_for(0), DECAY_TIME_MS)
+        self.assertEqual(decay_time_for(SMALL_GROUP_REQUESTS), DECAY_TIME_MS)
+        self.assertLess(self.follow(SMALL_GROUP_REQUESTS), 0.4)
 
 
 class TestDemand(unittest.TestCase):
     def test_a_shift_is_followed_at_once(self):
-        # Briefs stumble for half a second after each move of the demand: the map went
-        # on being made for what had been asked for before.
+        # Otherwise maps are made for the old demand, and briefs are slow for half a
+        # second after each shift.
         demand = Demand(LAYERS, EXPERTS)
         for at_ms in range(0, 2_000, 100):
             demand.add(shares(3), 6, at_ms)
@@ -153,10 +155,10 @@
             demand.forget_shifted()
         self.assertEqual(demand.shifts, 0)
 
-    def move(self, common):
-        """Return the layers that have shifted 0.2 s behind a move of the rest.
+    def count_shifts(self, common):
+        """Return the number of layers that have shifted 0.2 s after a shift of demand.
 
-        A share of all choices is common to all requests and stays.
+        The share `common` of all choices is the same for all requests and stays.
         """
         demand = Demand(LAYERS, EXPERTS)
         for at_ms in range(0, 10_200, 20):
@@ -166,15 +168,16 @@
             demand.forget_shifted()
         return demand.shifts
 
-    def test_a_shift_of_a_small_part_is_seen_where_the_mix_is_steady(self):
-        # Each move of the demand was followed in two changes 0.4 s apart: with three
-        # quarters of all choices common to all requests no move ever counted as one.
-        self.assertGreaterEqual(self.move(0.0), LAYERS)
-        self.assertGreaterEqual(self.move(0.85), LAYERS)
-        self.assertEqual(self.move(0.99), 0)
+    def test_a_shift_of_a_small_part_is_detected_where_the_mix_is_steady(self):
+        # With a fixed threshold, no shift is detected where three quarters of all
+        # choices are common to all requests, and following each takes two changes of
+        # map, 0.4 s apart.
+        self.assertGreaterEqual(self.count_shifts(0.0), LAYERS)
+        self.assertGreaterEqual(self.count_shifts(0.85), LAYERS)
+        self.assertEqual(self.count_shifts(0.99), 0)
 
-    def test_prompts_that_are_read_weigh_no_more_than_answers(self):
-        # A rank that read a long prompt says more choices than seven that write.
+    def test_prompts_have_no_more_weight_than_answers(self):
+        # A rank that reads a long prompt reports more choices than seven that generate.
         demand = Demand(LAYERS, EXPERTS)
         demand.add(shares(1), 1, 0)
         demand.add(shares(2), 6, 0)
--- a/tests/experts/test_planning.py
+++ b/tests/experts/test_planning.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from fuchsiahatch_experts.drift import finish
+from fuchsiahatch_experts.drift import finish_search
 from fuchsiahatch_experts.map_changes import first_map
 from fuchsiahatch_experts.planning import (
     EASY_GAIN,
@@ -38,7 +38,7 @@
 
     def test_a_demand_that_is_uneven_is_planned_for(self):
         self.choose(0, hot=3)
-        plan = finish(self.start_search(0))
+        plan = finish_search(self.start_search(0))
         self.assertLess(plan.skew_after, plan.skew_before)
         self.assertLessEqual(self.planner.copies_per_rank, 4)
 
@@ -46,20 +46,20 @@
         # A leader plans for most of its time on a quiet day, as each look finds a
         # demand for which no copy pays, and hears its agents half a second late.
         self.choose(0)
-        self.assertIsNone(finish(self.start_search(0)))
+        self.assertIsNone(finish_search(self.start_search(0)))
         for now_ms in range(LOOK_PAUSE_MS, VAIN_PAUSE_MS, LOOK_PAUSE_MS):
             self.assertIsNone(self.start_search(now_ms))
         self.assertIsNotNone(self.start_search(VAIN_PAUSE_MS))
 
     def test_a_shift_is_planned_for_at_the_next_look(self):
         self.choose(0)
-        self.assertIsNone(finish(self.start_search(0)))
+        self.assertIsNone(finish_search(self.start_search(0)))
         self.choose(LOOK_PAUSE_MS, hot=3)
-        self.assertIsNotNone(finish(self.start_search(LOOK_PAUSE_MS)))
+        self.assertIsNotNone(finish_search(self.start_search(LOOK_PAUSE_MS)))
 
     def test_another_map_is_planned_for_at_once(self):
         self.choose(0)
-        self.assertIsNone(finish(self.start_search(0)))
+        self.assertIsNone(finish_search(self.start_search(0)))
         self.assertIsNotNone(self.start_search(LOOK_PAUSE_MS, version=64))
 
     def test_short_passes_are_left_alone(self):
@@ -73,15 +73,15 @@
         # 60 ms of the 120 allowed, could hold a pass and make all streams late.
         self.choose(0, hot=3, times=18)
         easy = PassTiming(60.0, 120, [1.0] * RANKS)
-        self.assertIsNone(finish(self.start_search(0, passes=easy)))
+        self.assertIsNone(finish_search(self.start_search(0, passes=easy)))
         near = PassTiming(100.0, 120, [1.0] * RANKS)
-        plan = finish(self.start_search(VAIN_PAUSE_MS, passes=near))
+        plan = finish_search(self.start_search(VAIN_PAUSE_MS, passes=near))
         self.assertLess(plan.skew_before - plan.skew_after, EASY_GAIN)
 
     def test_a_shift_is_followed_where_passes_are_far_below_the_pause(self):
         self.choose(0, hot=3)
         easy = PassTiming(60.0, 120, [1.0] * RANKS)
-        self.assertIsNotNone(finish(self.start_search(0, passes=easy)))
+        self.assertIsNotNone(finish_search(self.start_search(0, passes=easy)))
 
     def test_choices_of_another_size_are_refused(self):
         with self.assertRaises(ValueError):
@@ -98,7 +98,7 @@
         # Behind a rank's death a group is back on its first map, under version 0 as
         # before, and keeps it a quarter of a second longer than it need.
         self.choose(0)
-        self.assertIsNone(finish(self.start_search(0)))
+        self.assertIsNone(finish_search(self.start_search(0)))
         self.assertIsNotNone(self.start_search(LOOK_PAUSE_MS, epoch=2))
 
 
