--- a/tests/experts/test_policies.py
+++ b/tests/experts/test_policies.py
@@ -28,13 +28,13 @@
 PLAN = plan_changes(2, 0.0)
 
 
-def see(now_ms=0, popularity=UNEVEN, exposure_ms=10.0, current=START):
+def observe(now_ms=0, popularity=UNEVEN, exposure_ms=10.0, current=START):
     return Observation(now_ms, current, popularity, exposure_ms)
 
 
-def first_move(policy, most=100, **fields):
-    """Count the observations up to and with the first move."""
-    moves = (policy(see(now_ms=10 * index, **fields)) for index in range(most))
+def first_move(policy, limit=100, **fields):
+    """Return the number of observations up to and including the first move."""
+    moves = (policy(observe(now_ms=10 * index, **fields)) for index in range(limit))
     return next(
         (index + 1 for index, target in enumerate(moves) if target is not None), None
     )
@@ -46,14 +46,14 @@
 
     def test_periodic_moves_each_period(self):
         policy = periodic(200, PLAN)
-        moved = [policy(see(now_ms=now)) is not None for now in range(0, 500, 100)]
+        moved = [policy(observe(now_ms=now)) is not None for now in range(0, 500, 100)]
         self.assertEqual(moved, [False, False, True, False, True])
 
     def test_periodic_stays_when_nothing_would_change(self):
         self.assertIsNone(first_move(periodic(200, PLAN), popularity=EVEN))
 
-    def test_afresh_packs_anew(self):
-        target = plan_afresh(2)(see())
+    def test_plan_afresh_packs_from_scratch(self):
+        target = plan_afresh(2)(observe())
         self.assertEqual(target.placed.sum(), 4)
 
     def test_threshold(self):
@@ -67,7 +67,7 @@
 
     def test_moves_at_break_even(self):
         first = first_move(rent_to_buy(PRICES, PLAN))
-        # An account is looked at each time that it has grown by a fifth.
+        # An account is checked each time it has grown by a fifth.
         self.assertGreaterEqual(first, self.BREAK_EVEN)
         self.assertLessEqual(first, self.BREAK_EVEN * 1.2 + 1)
 
@@ -80,19 +80,19 @@
         both = ExpertMap(np.concatenate([START.placed] * 2))
         popularity = np.concatenate([UNEVEN, EVEN])
         policy = rent_to_buy_by_layer(PRICES, 2)
-        seen = see(popularity=popularity, current=both, exposure_ms=10_000.0)
-        self.assertEqual(count_moves(both, policy(seen)).tolist(), [2, 0])
+        observation = observe(popularity=popularity, current=both, exposure_ms=10_000.0)
+        self.assertEqual(count_moves(both, policy(observation)).tolist(), [2, 0])
 
     def test_credit_lets_a_layer_move_sooner(self):
         policy = rent_to_buy_by_layer(PRICES, 2, credit_ms=195.0)
         self.assertEqual(first_move(policy), 1)
 
-    def test_the_account_starts_again_after_a_move(self):
+    def test_the_account_is_reset_after_a_move(self):
         for policy in (rent_to_buy(PRICES, PLAN), rent_to_buy_by_layer(PRICES, 2)):
             self.assertIsNotNone(first_move(policy))
             self.assertGreaterEqual(first_move(policy), self.BREAK_EVEN)
 
-    def test_skew_that_no_move_can_mend_is_not_paid_for(self):
+    def test_skew_that_no_move_reduces_causes_no_move(self):
         everywhere = ExpertMap(np.array([[[True, False], [False, True]]]))
         popularity = np.array([[3.0, 1.0]])
         for policy in (
@@ -104,31 +104,31 @@
 
 
 class TestPayback(unittest.TestCase):
-    def test_moves_at_once_when_the_horizon_pays(self):
+    def test_moves_at_once_when_it_pays_off_within_the_horizon(self):
         # Within the horizon the swap saves 2.0 * horizon * 0.5, for 200.
         self.assertEqual(first_move(payback(PRICES, 2, 210.0)), 1)
         self.assertIsNone(first_move(payback(PRICES, 2, 190.0)))
 
     def test_searches_no_more_often_than_its_period(self):
         policy = payback(PRICES, 2, 210.0, period_ms=100)
-        moved = [policy(see(now_ms=now)) is not None for now in (0, 50, 100)]
+        moved = [policy(observe(now_ms=now)) is not None for now in (0, 50, 100)]
         self.assertEqual(moved, [True, False, True])
 
 
 class TestForecast(unittest.TestCase):
-    def test_goes_on_with_the_trend(self):
+    def test_extrapolates_the_trend(self):
         shown = []
-        policy = forecast(lambda seen: shown.append(seen.popularity), 100)
+        policy = forecast(lambda observation: shown.append(observation.popularity), 100)
         for now_ms in (0, 100, 200):
             rising = 1.0 + now_ms / 100
-            policy(see(now_ms=now_ms, popularity=np.array([[rising, 8.0]])))
+            policy(observe(now_ms=now_ms, popularity=np.array([[rising, 8.0]])))
         np.testing.assert_allclose(np.concatenate(shown)[:, 0], [1.0, 3.0, 4.0])
 
-    def test_never_below_a_quarter(self):
+    def test_forecast_is_at_least_a_quarter_of_the_popularity(self):
         shown = []
-        policy = forecast(lambda seen: shown.append(seen.popularity), 100)
+        policy = forecast(lambda observation: shown.append(observation.popularity), 100)
         for now_ms, share in ((0, 9.0), (100, 1.0)):
-            policy(see(now_ms=now_ms, popularity=np.array([[share]])))
+            policy(observe(now_ms=now_ms, popularity=np.array([[share]])))
         self.assertEqual(shown[1].tolist(), [[0.25]])
 
 
@@ -145,7 +145,7 @@
 
 
 class TestDeterminism(unittest.TestCase):
-    def test_the_same_observations_bring_the_same_moves(self):
+    def test_the_same_observations_cause_the_same_moves(self):
         rng = np.random.default_rng(1)
         popularities = rng.lognormal(0, 1, (40, 1, 4))
         makers = (
@@ -165,7 +165,7 @@
     current = START
     moves = []
     for index, popularity in enumerate(popularities):
-        target = policy(see(10 * index, popularity, 100.0, current))
+        target = policy(observe(10 * index, popularity, 100.0, current))
         current = target or current
         moves.append(b"" if target is None else target.placed.tobytes())
     return moves
