--- a/packages/experts/src/fuchsiahatch_experts/costs.py
+++ b/packages/experts/src/fuchsiahatch_experts/costs.py
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CostWeights:
-    """Weights of the kinds of lost time in a deployment's total cost.
+    """Weight of each kind of lost time in a deployment's total cost.
 
     Attributes
     ----------
--- a/packages/experts/src/fuchsiahatch_experts/drift.py
+++ b/packages/experts/src/fuchsiahatch_experts/drift.py
@@ -90,7 +90,7 @@
     weight : float
         Decayed number of requests in the estimate.
     shifts : int
-        Shifts of a layer that were detected in all.
+        Number of layer shifts detected so far.
 
     Notes
     -----
@@ -240,7 +240,7 @@
     Parameters
     ----------
     current : IndexedMap
-        The map in force.
+        The current map.
     demand : Demand
     slots : int
         Experts of one layer that a rank has memory for.
--- a/packages/experts/src/fuchsiahatch_experts/planning.py
+++ b/packages/experts/src/fuchsiahatch_experts/planning.py
@@ -22,9 +22,9 @@
 
 #: Minimum weight of the demand estimate, in requests, before a map is changed.
 MIN_DEMAND_WEIGHT = 4.0
-#: Passes shorter than this share of the routes' shortest gap between events, with one
-#: event per pass, cause no change: copies would cost more than faster passes bring. On
-#: a quiet day this saves a third of the copies (1,205 instead of 1,879 GB) at the same
+#: Share of the routes' shortest gap between events, with one event per pass, below
+#: which passes cause no change: copies would cost more than faster passes bring. On a
+#: quiet day this saves a third of the copies (1,205 instead of 1,879 GB) at the same
 #: share of requests in time (0.976 and 0.977).
 SHORT_PASS_SHARE = 0.42
 #: Share of that gap up to which a change must bring `MEDIUM_PASS_MIN_GAIN`. During each
