--- a/packages/experts/src/fuchsiahatch_experts/costs.py
+++ b/packages/experts/src/fuchsiahatch_experts/costs.py
@@ -1,4 +1,4 @@
-"""What a map and a change of map cost: lost step time and weight transfer."""
+"""Costs of a map and of changing it: lost step time and weight transfer."""
 
 import dataclasses
 import typing as t
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepShape:
-    """Time of one step on ranks that are all equally loaded.
+    """Duration of one step on equally loaded ranks.
 
     Attributes
     ----------
     fixed_ms : float
         Attention, sampling and exchange; the same on every rank.
     expert_ms : float
-        Expert layers together; grows with the most loaded rank.
+        All expert layers; grows with the load of the most loaded rank.
     """
 
     fixed_ms: float
@@ -36,7 +36,7 @@
     Attributes
     ----------
     expert_bytes : int
-        Weights of one expert of one layer.
+        Size of one expert's weights in one layer.
     rate_bytes_per_s : int
         Rate limit for the whole group.
     """
@@ -46,13 +46,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Weights:
-    """How much a deployment minds each kind of lost second.
+class CostWeights:
+    """Weight of each kind of lost time in a deployment's total cost.
 
     Attributes
     ----------
     skew : float
-        Per second that steps take longer than on equally loaded ranks.
+        Per second by which steps exceed those on equally loaded ranks.
     move : float
         Per second in which weights are fetched.
     """
@@ -77,17 +77,17 @@
     move_ms: float
 
 
-#: A straggler holds back each reply of an evening rush, and weights are fetched
-#: beside the serving; see docs/design/rebalancing.md for both ratios.
-GERAK_BERSAMA = Weights(skew=4.0, move=1.0)
-#: A run is short and a second spent fetching is lost for writing briefs.
-GERALDTON = Weights(skew=1.0, move=4.0)
+#: A straggler delays every reply during the evening peak, and weights are fetched while
+#: requests are served; docs/design/rebalancing.md explains both ratios.
+GERAK_BERSAMA = CostWeights(skew=4.0, move=1.0)
+#: Runs are short, and a second spent fetching weights is lost for writing briefs.
+GERALDTON = CostWeights(skew=1.0, move=4.0)
 
 
 def layer_skew(
     expert_map: "ExpertMap", popularity: "npt.NDArray[np.float64]"
 ) -> "npt.NDArray[np.float64]":
-    """Return the most loaded rank over the mean, per layer.
+    """Return the highest load of a rank over the mean, per layer.
 
     Returns
     -------
@@ -103,7 +103,7 @@
 def step_ms(
     shape: StepShape, expert_map: "ExpertMap", popularity: "npt.NDArray[np.float64]"
 ) -> float:
-    """Return the time of one step; ranks wait for the slowest in every layer."""
+    """Return the duration of a step; ranks wait for the slowest in every layer."""
     return shape.fixed_ms + shape.expert_ms * layer_skew(expert_map, popularity).mean()
 
 
@@ -113,16 +113,16 @@
 
 
 def move_ms(store: WeightStore, current: "ExpertMap", target: "ExpertMap") -> float:
-    """Return how long the fetching takes at the store's rate limit."""
+    """Return the time to fetch them at the store's rate limit."""
     return move_bytes(store, current, target) * 1_000 / store.rate_bytes_per_s
 
 
-def find_prices(weights: Weights, store: WeightStore) -> Prices:
+def find_prices(weights: CostWeights, store: WeightStore) -> Prices:
     """Return a deployment's prices per millisecond of skew and per expert."""
     fetch_ms = store.expert_bytes * 1_000 / store.rate_bytes_per_s
     return Prices(weights.skew, weights.move * fetch_ms)
 
 
-def total_cost_ms(weights: Weights, lost_ms: float, moved_ms: float) -> float:
+def total_cost_ms(weights: CostWeights, lost_ms: float, moved_ms: float) -> float:
     """Return the weighted sum of time lost to skew and time spent fetching."""
     return weights.skew * lost_ms + weights.move * moved_ms
--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -35,7 +35,7 @@
     from fuchsiahatch_adapter.model_engine import ModelEngine
     from fuchsiahatch_core.clock import Clock
     from fuchsiahatch_experts.drift import Plan
-    from fuchsiahatch_experts.planning import Passes
+    from fuchsiahatch_experts.planning import PassTiming
 
 #: Age up to which an agent's acknowledgement of this term counts. States arrive each
 #: 100 ms, and one of them may be lost.
@@ -329,7 +329,7 @@
         else:
             self._term_acked_ms.pop(rank, None)
 
-    def _start_switch(self, plan: "Plan", passes: "Passes") -> bool:
+    def _start_switch(self, plan: "Plan", passes: "PassTiming") -> bool:
         """Start a switch to a planned map; return whether it was started."""
         # A standby whose agent is silent couldn't agree to a commit.
         standby = self._silent.heard_behind(self._rank)
