--- a/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
@@ -98,7 +98,7 @@
             suspect.told = True
             self._tell_others(CrashNotice(fingerprint, tuple(suspect.lives)))
 
-    def take_notice(self, notice: CrashNotice) -> Clearance | None:
+    def receive_notice(self, notice: CrashNotice) -> Clearance | None:
         """Take in what another entry knows of a request.
 
         Returns
@@ -111,7 +111,7 @@
         self._count(notice.fingerprint, notice.lives, "another entry")
         return None
 
-    def note_whole(self, fingerprint: str) -> None:
+    def note_complete_answer(self, fingerprint: str) -> None:
         """Note that a request got a whole answer: it crashes nobody."""
         self._whole.pop(fingerprint, None)
         self._whole[fingerprint] = self._clock.now_ms()
@@ -120,7 +120,7 @@
             self._clear(fingerprint, "own answer")
             self._tell_others(Clearance(fingerprint))
 
-    def take_clearance(self, clearance: Clearance) -> None:
+    def receive_clearance(self, clearance: Clearance) -> None:
         """Take in that another entry had a whole answer to a request.
 
         Whoever made it a suspect hears of that alone, and passes it on once.
--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -196,14 +196,14 @@
         self, job: Job, upstream: "Upstream", outcome: Outcome
     ) -> None:
         if outcome.result is Result.ANSWERED:
-            self._crashing.note_whole(job.fingerprint)
+            self._crashing.note_complete_answer(job.fingerprint)
         elif outcome.cut:
             crashed = await self._crashes.examine(job.fingerprint, upstream)
             outcome.group_crashed = (
                 crashed and bool(upstream.group) and not outcome.events
             )
         elif outcome.result is Result.BROKEN:
-            self._crashes.note_silence(job.fingerprint, upstream)
+            self._crashes.note_unanswered(job.fingerprint, upstream)
 
     def _may_spend(self, job: Job, outcome: Outcome) -> bool:
         # Where no connection came about, the next send is the first that arrives.
@@ -269,7 +269,7 @@
         if job.events is not None:
             # An agent tells of an engine, and all ranks of its group are late together.
             return None
-        return self._late.expect(upstream, job.match.route.objective_ms)
+        return self._late.expect_answer(upstream, job.match.route.objective_ms)
 
     def _could_move(self, job: Job) -> bool:
         # Only a stream: whatever else runs is nearly done.
--- a/packages/gateway/src/fuchsiahatch_gateway/entry.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry.py
@@ -41,7 +41,7 @@
 from fuchsiahatch_gateway.entry_announcer import EntryAnnouncer
 from fuchsiahatch_gateway.entry_beats import BEAT_MS, EntryBeats
 from fuchsiahatch_gateway.entry_gauges import add_gauges
-from fuchsiahatch_gateway.fleet import FIRST_REPORT_MS, Fleet
+from fuchsiahatch_gateway.fleet import FIRST_REPORT_TIMEOUT_MS, Fleet
 from fuchsiahatch_gateway.following import Follower
 from fuchsiahatch_gateway.held_requests import HeldRequests
 from fuchsiahatch_gateway.item_copies import ItemCopy
@@ -127,7 +127,7 @@
             settings.internal_ports[0] + AGENT_PORT_OFFSET,
             clock,
         )
-        self.fleet.on_gone = self._drop_connections
+        self.fleet.on_departed = self._drop_connections
         self.fleet.engine_of = self.routes.engine_of
         self.permits = Permits(
             settings.node,
@@ -190,12 +190,12 @@
         self._takers: dict[type, t.Callable[[t.Any, Peer], None]] = {
             LoadReport: self._take_load,
             EntryBeat: self._take_beat,
-            PermitRequest: self.permits.take_request,
-            PermitReply: lambda reply, peer: self.permits.take_reply(reply),
+            PermitRequest: self.permits.receive_request,
+            PermitReply: lambda reply, peer: self.permits.receive_reply(reply),
             RateNotice: self._take_rate,
             CrashNotice: self._take_crash,
-            Clearance: lambda notice, peer: self.crashing.take_clearance(notice),
-            LateNotice: lambda notice, peer: self.late.take(notice),
+            Clearance: lambda notice, peer: self.crashing.receive_clearance(notice),
+            LateNotice: lambda notice, peer: self.late.receive_notice(notice),
         }
         self._config = self._copy(CONFIGURATION_KEY, self._apply_configuration)
         self._upstreams = self._copy(UPSTREAMS_PREFIX, self._apply_upstreams)
@@ -229,7 +229,7 @@
         await self._accept_callers()
         process.keep_running(self._beat_for_ever())
         # Whoever waits for the first load reports waits no longer than that.
-        reactor.callLater(FIRST_REPORT_MS / 1000, self.placer.serve_waiting)
+        reactor.callLater(FIRST_REPORT_TIMEOUT_MS / 1000, self.placer.serve_waiting)
         process.keep_running(self.registration.run())
         await process.stopping.wait()
         await self._leave()
@@ -375,10 +375,10 @@
     def _take_rate(self, notice: RateNotice, peer: Peer) -> None:
         upstream = self.fleet.upstreams.get(notice.upstream)
         if upstream is not None:
-            self.rates.note_notice(upstream, notice)
+            self.rates.receive_notice(upstream, notice)
 
     def _take_crash(self, notice: CrashNotice, peer: Peer) -> None:
-        answer = self.crashing.take_notice(notice)
+        answer = self.crashing.receive_notice(notice)
         if answer is not None:
             self.datagrams.send(answer, peer)
 
--- a/packages/gateway/src/fuchsiahatch_gateway/fleet.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/fleet.py
@@ -36,7 +36,7 @@
 #: Time behind the first sight of an engine for which its first load report is waited
 #: for. Reports come each 100 ms; after a loss of power a rank group
 #: needs some 600 ms to form, and refuses whatever comes before.
-FIRST_REPORT_MS = 700
+FIRST_REPORT_TIMEOUT_MS = 700
 #: Time for which nothing is sent to a service's engines as the first of them opens: all
 #: ranks of its group have, and each tells so within its 100 ms of reports.
 GATHER_MS = 100
@@ -84,7 +84,7 @@
         "_rng",
         "_zone",
         "engine_of",
-        "on_gone",
+        "on_departed",
         "on_restarted",
         "upstreams",
     )
@@ -101,7 +101,7 @@
         #: When the first engine of a service opened while no other could be used.
         self._opened_ms: dict[str, int] = {}
         self.upstreams: dict[str, Upstream] = {}
-        self.on_gone: t.Callable[[UpstreamEntry], None] = lambda entry: None
+        self.on_departed: t.Callable[[UpstreamEntry], None] = lambda entry: None
         self.on_restarted: t.Callable[[Upstream], None] = lambda former: None
         self.engine_of: t.Callable[[str], Engine | None] = lambda service: None
 
@@ -110,9 +110,9 @@
         fresh = newest_by_address(self._entries.decode_all(items), items)
         for instance in self.upstreams.keys() - fresh.keys():
             gone = self.upstreams.pop(instance)
-            log_event(Event.UPSTREAM_GONE, upstream=instance, own=gone.own)
+            log_event(Event.UPSTREAM_GONE, upstream=instance, own=gone.local_requests)
             self._departed.note(gone)
-            self.on_gone(gone.entry)
+            self.on_departed(gone.entry)
         for instance, entry in fresh.items():
             if not self._departed.has(entry, items[instance]):
                 self._put(entry, items[instance])
@@ -131,7 +131,7 @@
         if opens and load.group and not self._open(service):
             self._opened_ms[service] = self._clock.now_ms()
         self._reports.add(service)
-        upstream.others = max(0, load.running + load.queued - upstream.own)
+        upstream.others = max(0, load.running + load.queued - upstream.local_requests)
         upstream.note_report(self._clock.now_ms())
         upstream.pace = load.pace
         upstream.open = load.open
@@ -202,7 +202,7 @@
         """
         if upstream.reported_ms is not None:
             return False
-        if self._clock.now_ms() - upstream.seen_ms >= FIRST_REPORT_MS:
+        if self._clock.now_ms() - upstream.seen_ms >= FIRST_REPORT_TIMEOUT_MS:
             return False
         return self.engine_of(upstream.entry.service) is not None
 
@@ -317,8 +317,10 @@
         if entry.born_ms > known.born_ms or entry.address != known.entry.address:
             known = self._begin_life(known, entry, entry.born_ms)
         if entry.leaving and not known.entry.leaving:
-            log_event(Event.UPSTREAM_LEAVING, upstream=instance, own=known.own)
-            self.on_gone(entry)
+            log_event(
+                Event.UPSTREAM_LEAVING, upstream=instance, own=known.local_requests
+            )
+            self.on_departed(entry)
         elif known.entry.leaving and item.era > known.told[0]:
             # The store came back from a copy in which it had not begun to leave. Who
             # leaves does so for the rest of its life, and gets no new request.
@@ -345,11 +347,11 @@
         log_event(
             Event.UPSTREAM_RESTARTED,
             upstream=instance,
-            own=former.own,
+            own=former.local_requests,
             before_ms=former.born_ms,
             born_ms=born_ms,
         )
-        self.on_gone(former.entry)
+        self.on_departed(former.entry)
         self.on_restarted(former)
         fresh = Upstream(
             dataclasses.replace(entry, leaving=False),
--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -181,7 +181,7 @@
         rank = state.report.rank
         now_ms = self._clock.now_ms()
         self._peers[rank] = peer
-        self._silent.note_heard(rank, state.upstream, self._hearing.heard_ms)
+        self._silent.note_contact(rank, state.upstream, self._hearing.heard_ms)
         self._note_obedience(rank, state.report.term, now_ms)
         self.switch.experts = self._own.experts_per_layer
         self.switch.observe(self._complete(state.report), now_ms)
@@ -328,7 +328,7 @@
     def _start(self, plan: "Plan", passes: "Passes") -> bool:
         """Begin to switch to a planned map; return whether that was done."""
         # A standby whose agent is silent could agree to no commit.
-        standby = self._silent.heard_behind(self._rank)
+        standby = self._silent.next_rank_with_agent(self._rank)
         if standby is None or self._stopping or not self._may_switch():
             return False
         ahead = self._timing.passes_ahead(passes.pass_ms)
@@ -346,7 +346,7 @@
         if order.kind is OrderKind.HOLD:
             self._tasks.begin(self._give_hold(order))
             return
-        speaker = self._silent.speaker(order.rank)
+        speaker = self._silent.direct_client(order.rank)
         if speaker is not None:
             # Nobody but the standby's own agent can agree to a commit.
             if not self._authority.is_alone() or order.kind is OrderKind.COMMIT:
--- a/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
@@ -68,7 +68,7 @@
     """
 
     entry: "UpstreamEntry"
-    own: int = 0
+    local_requests: int = 0
     others: int = 0
     reported_ms: int | None = None
     report_pause_ms: float = float(REPORT_MS)
@@ -101,8 +101,8 @@
     def load(self, now_ms: int) -> int:
         """Return the requests that are believed to be there."""
         if self.reported_ms is None or now_ms - self.reported_ms > LOAD_LIMIT_MS:
-            return self.own
-        return self.own + self.others
+            return self.local_requests
+        return self.local_requests + self.others
 
     def report_age_ms(self, now_ms: int) -> int | None:
         """Return how old the last load report is; None without one."""
--- a/packages/gateway/src/fuchsiahatch_gateway/late_upstreams.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/late_upstreams.py
@@ -43,7 +43,9 @@
         self._tell = tell
         self._told_ms: dict[str, int] = {}
 
-    def expect(self, upstream: "Upstream", within_ms: int) -> asyncio.TimerHandle:
+    def expect_answer(
+        self, upstream: "Upstream", within_ms: int
+    ) -> asyncio.TimerHandle:
         """Wait for an answer; cancel what is returned as it begins.
 
         Parameters
@@ -68,11 +70,11 @@
             if known in self._upstreams
         }
         self._told_ms[instance] = now_ms
-        log_event(Event.UPSTREAM_LATE, upstream=instance, own=upstream.own)
+        log_event(Event.UPSTREAM_LATE, upstream=instance, own=upstream.local_requests)
         upstream.note_failure(now_ms)
         self._tell(LateNotice(instance, upstream.born_ms))
 
-    def take(self, notice: LateNotice) -> None:
+    def receive_notice(self, notice: LateNotice) -> None:
         """Count what another entry was not answered in time."""
         upstream = self._upstreams.get(notice.upstream)
         if upstream is not None and upstream.born_ms == notice.born_ms:
--- a/packages/gateway/src/fuchsiahatch_gateway/permits.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/permits.py
@@ -110,7 +110,7 @@
             return SILENT_PAUSE_MS
         return answered.result()
 
-    def take_request(self, request: PermitRequest, peer: Peer) -> None:
+    def receive_request(self, request: PermitRequest, peer: Peer) -> None:
         """Answer another entry, by what is known here where that is newer."""
         now_ms = self._clock.now_ms()
         rate_per_s, age_ms = request.rate_per_s, request.age_ms
@@ -123,7 +123,7 @@
             wait_ms = self.issuer.issue(request.upstream, rate_per_s, age_ms)
         self._datagrams.send(PermitReply(request.number, wait_ms), peer)
 
-    def take_reply(self, reply: PermitReply) -> None:
+    def receive_reply(self, reply: PermitReply) -> None:
         """Take in another entry's answer."""
         answered = self._asked.get(reply.number)
         if answered is not None and not answered.done():
--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -87,7 +87,7 @@
         if upstream is None:
             self._check_permits(service)
             raise RefusedError("upstreams take no more now", Code.RATE_REACHED)
-        upstream.own += 1
+        upstream.local_requests += 1
         return upstream
 
     def _check_permits(self, service: str) -> None:
@@ -124,7 +124,7 @@
         if not len(queue):
             upstream = self._fleet.choose(service, tried)
             if upstream is not None:
-                upstream.own += 1
+                upstream.local_requests += 1
                 return upstream
         upstream = await self._wait(queue, service, team, urgency, tried, wait_ms)
         if not self.is_usable(upstream):
@@ -147,7 +147,7 @@
 
     def give_back(self, upstream: "Upstream") -> None:
         """Free a place."""
-        upstream.own -= 1
+        upstream.local_requests -= 1
         self.serve_waiting(upstream.entry.service)
 
     def serve_waiting(self, service: str | None = None) -> None:
@@ -169,7 +169,7 @@
             return True
         if upstream.entry.instance in waiter.tried:
             upstream = self._fleet.choose(service, waiter.tried) or upstream
-        upstream.own += 1
+        upstream.local_requests += 1
         waiter.future.set_result(upstream)
         return True
 
--- a/packages/gateway/src/fuchsiahatch_gateway/silent_agents.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/silent_agents.py
@@ -17,16 +17,16 @@
 #: that was killed, or whose host stands still, must not hold its group until it is back
 #: nor keep it on an old map (measured: four seconds at a skew of 2 to 3). Such orders
 #: and reports are priced, so that it is done in need only.
-SILENCE_MS = 350
+SILENCE_TIMEOUT_MS = 350
 #: Pause between two reports that the leader asks an engine for itself, while passes may
 #: be held back and otherwise.
 HELD_POLL_MS = 40
-POLL_MS = 150
+POLL_INTERVAL_MS = 150
 #: Share of the leader's link for such questions, and what one takes of it with its
 #: answer. 57 engines asked at once each 150 ms filled a link of 4 Mbit/s: every call
 #: timed out, the renewal of the lease among them.
 ASKING_LINK_SHARE = 0.1
-QUESTION_BYTES = 1_000
+POLL_BYTES = 1_000
 #: Engines that are asked at once however narrow the link is.
 LEAST_ASKED = 3
 #: Pause between two searches for engines whose agents were never heard.
@@ -99,16 +99,16 @@
         self._addresses: dict[int, str] = {}
         self._heard_ms: dict[int, int] = {}
         self._since_ms: int | None = None
-        self._poll_ms = POLL_MS
+        self._poll_ms = POLL_INTERVAL_MS
         self._searched_ms: int | None = None
         self._speakers: dict[int, RankAgent] = {}
         self._asking: set[int] = set()
         self._last_asked_ms: dict[int, int] = {}
-        room_bytes = ASKING_LINK_SHARE * link_bytes_per_s * POLL_MS / 1000
-        self._most_asked = max(int(room_bytes / QUESTION_BYTES), LEAST_ASKED)
+        room_bytes = ASKING_LINK_SHARE * link_bytes_per_s * POLL_INTERVAL_MS / 1000
+        self._most_asked = max(int(room_bytes / POLL_BYTES), LEAST_ASKED)
         self._tasks = Tasks()
 
-    def note_heard(self, rank: int, address: str, heard_ms: int) -> None:
+    def note_contact(self, rank: int, address: str, heard_ms: int) -> None:
         """Note that a rank's agent was heard, by the clock of `Hearing`."""
         self._addresses[rank] = address
         self._heard_ms[rank] = heard_ms
@@ -118,15 +118,19 @@
         """Return the address of a rank's engine, if it is known."""
         return self._addresses.get(rank)
 
-    def heard_behind(self, rank: int) -> int | None:
+    def next_rank_with_agent(self, rank: int) -> int | None:
         """Return the next rank behind one whose agent is heard, or None."""
         behind = ((rank + step) % self._ranks for step in range(1, self._ranks))
         return next(
-            (one for one in behind if one in self._heard_ms and not self.speaker(one)),
+            (
+                one
+                for one in behind
+                if one in self._heard_ms and not self.direct_client(one)
+            ),
             None,
         )
 
-    def speaker(self, rank: int) -> RankAgent | None:
+    def direct_client(self, rank: int) -> RankAgent | None:
         """Return who speaks with a rank's engine in place of its agent, if anybody."""
         return self._speakers.get(rank)
 
@@ -140,10 +144,10 @@
             Time for which agents could be heard.
         now_ms : int
         """
-        self._poll_ms = HELD_POLL_MS if phase in _HOLDING_PHASES else POLL_MS
+        self._poll_ms = HELD_POLL_MS if phase in _HOLDING_PHASES else POLL_INTERVAL_MS
         if self._since_ms is None:
             self._since_ms = heard_ms
-        for rank in self._silent_ranks(heard_ms - SILENCE_MS):
+        for rank in self._silent_ranks(heard_ms - SILENCE_TIMEOUT_MS):
             self._speak_for(rank, now_ms)
 
     def _silent_ranks(self, until_ms: int) -> list[int]:
--- a/packages/gateway/src/fuchsiahatch_gateway/stated_rates.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/stated_rates.py
@@ -87,7 +87,7 @@
         if before is None or before.rate_per_s != rate_per_s:
             self._log(upstream, "own answer", now_ms)
 
-    def note_notice(self, upstream: "Upstream", notice: RateNotice) -> None:
+    def receive_notice(self, upstream: "Upstream", notice: RateNotice) -> None:
         """Take in what another entry was told, unless this one knows better."""
         now_ms = self._clock.now_ms()
         said_ms = now_ms - notice.age_ms
--- a/packages/gateway/src/fuchsiahatch_gateway/upstream_crashes.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/upstream_crashes.py
@@ -96,7 +96,7 @@
         self.note_over(life)
         return True
 
-    def note_silence(self, fingerprint: str, upstream: "Upstream") -> None:
+    def note_unanswered(self, fingerprint: str, upstream: "Upstream") -> None:
         """Note an answer that was given up: its upstream may have ended unheard."""
         now_ms = self._clock.now_ms()
         self._breaks.append(_Break(fingerprint, upstream.life, now_ms))
--- a/tests/gateway/crash_model.py
+++ b/tests/gateway/crash_model.py
@@ -59,9 +59,9 @@
 
     def take(self, message, sender):
         if not isinstance(message, CrashNotice):
-            self.requests.take_clearance(message)
+            self.requests.receive_clearance(message)
             return
-        answer = self.requests.take_notice(message)
+        answer = self.requests.receive_notice(message)
         if answer is not None:
             self.play.send(answer, self, sender)
 
@@ -77,7 +77,7 @@
             tried.add(life.group)
             whole, events = await self.play.run(fingerprint, life)
             if whole:
-                self.requests.note_whole(fingerprint)
+                self.requests.note_complete_answer(fingerprint)
                 return "whole"
             crashed = await self.crashes.examine(fingerprint, life)
             progress = Progress(
--- a/tests/gateway/delivery_model.py
+++ b/tests/gateway/delivery_model.py
@@ -135,7 +135,7 @@
         routes.apply(orjson.dumps(make_configuration(1, ROUTES)))
         self.pool = PlayedPool(self, self.clock)
         self.fleet = Fleet("kl-a", self.clock, rng)
-        self.fleet.on_gone = lambda entry: self.pool.forget(
+        self.fleet.on_departed = lambda entry: self.pool.forget(
             entry.address.ip, entry.address.port
         )
         self.placer = Placer(self.fleet, self.clock)
@@ -307,8 +307,10 @@
         if self.placer.waiting:
             self.faults.append("somebody waits for ever")
         for instance, upstream in self.fleet.upstreams.items():
-            if upstream.own:
-                self.faults.append(f"{instance} has lost {upstream.own} places")
+            if upstream.local_requests:
+                self.faults.append(
+                    f"{instance} has lost {upstream.local_requests} places"
+                )
 
 
 def find_faults(scenario):
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -75,7 +75,7 @@
 
     def test_one_life_counts_once_whoever_saw_it_end(self):
         self.crash("a@1", "a@1", "b@1")
-        self.requests.take_notice(CrashNotice("f", ("a@1", "b@1")))
+        self.requests.receive_notice(CrashNotice("f", ("a@1", "b@1")))
         self.assertEqual(self.requests.crashes("f"), 2)
 
     def test_a_later_life_of_the_same_instance_counts(self):
@@ -85,28 +85,28 @@
     def test_a_lost_notice_is_made_up_for_by_the_next(self):
         self.crash("a@1", "b@1", "c@1")
         other = CrashingRequests(self.clock, lambda message: None)
-        other.take_notice(decode(encode(self.told[-1])))
+        other.receive_notice(decode(encode(self.told[-1])))
         self.assertEqual(other.held_ms("f"), HOLD_MS)
 
     def test_a_whole_answer_clears_a_suspect_at_all_entries(self):
         self.crash("a@1", "b@1")
-        self.requests.note_whole("f")
+        self.requests.note_complete_answer("f")
         self.assertEqual(self.requests.crashes("f"), 0)
         other = CrashingRequests(self.clock, lambda message: None)
-        other.take_notice(CrashNotice("f", ("a@1", "b@1", "c@1")))
-        other.take_clearance(decode(encode(self.told[-1])))
+        other.receive_notice(CrashNotice("f", ("a@1", "b@1", "c@1")))
+        other.receive_clearance(decode(encode(self.told[-1])))
         self.assertEqual((other.crashes("f"), other.held_ms("f")), (0, 0))
 
     def test_a_popular_request_stays_served_as_a_rack_loses_power(self):
         # It ran on all upstreams of the rack, and had whole answers a moment ago.
-        self.requests.note_whole("f")
+        self.requests.note_complete_answer("f")
         self.clock.advance(WHOLE_MS - 1)
         self.crash("a@1", "b@1", "c@1", "d@1")
-        self.requests.take_notice(CrashNotice("f", ("e@1", "g@1", "h@1")))
+        self.requests.receive_notice(CrashNotice("f", ("e@1", "g@1", "h@1")))
         self.assertEqual(self.requests.held_ms("f"), 0)
 
     def test_a_request_that_crashes_a_new_version_is_found_later(self):
-        self.requests.note_whole("f")
+        self.requests.note_complete_answer("f")
         self.clock.advance(WHOLE_MS)
         self.crash("a@1", "b@1", "c@1")
         self.assertGreater(self.requests.held_ms("f"), 0)
@@ -115,15 +115,15 @@
         # Popular at 41 entries, and whole at this one no minute ago: others counted it.
         self.crash("a@1")
         other = CrashingRequests(self.clock, lambda message: None)
-        other.note_whole("f")
-        answer = other.take_notice(self.told[-1])
-        self.requests.take_clearance(answer)
-        self.requests.take_clearance(answer)
+        other.note_complete_answer("f")
+        answer = other.receive_notice(self.told[-1])
+        self.requests.receive_clearance(answer)
+        self.requests.receive_clearance(answer)
         self.assertEqual(self.requests.crashes("f"), 0)
         self.assertEqual(self.told[1:], [Clearance("f")])
 
     def test_whole_answers_of_others_are_told_nobody(self):
-        self.requests.note_whole("f")
+        self.requests.note_complete_answer("f")
         self.assertEqual(self.told, [])
 
     def test_one_more_crash_behind_a_hold_holds_anew(self):
@@ -162,7 +162,7 @@
         self.assertEqual(self.requests.held_ms("f"), 0)
 
     def test_a_clearance_of_nothing_is_nothing(self):
-        self.requests.take_clearance(Clearance("f"))
+        self.requests.receive_clearance(Clearance("f"))
         self.assertEqual(self.requests.suspects, 0)
 
 
--- a/tests/gateway/test_delivery.py
+++ b/tests/gateway/test_delivery.py
@@ -369,7 +369,7 @@
                 writer.close()
                 await until(lambda: one.left, 0.4)
                 (known,) = site.entry.fleet.upstreams.values()
-                return known.own
+                return known.local_requests
 
         self.assertEqual(run(asks()), 0)
 
@@ -393,7 +393,7 @@
                 for writer in writers:
                     writer.close()
                 (known,) = site.entry.fleet.upstreams.values()
-                await until(lambda: known.own == 0)
+                await until(lambda: known.local_requests == 0)
                 return len(one.received)
 
         self.assertEqual(run(asks()), 6)
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -72,7 +72,7 @@
         self.fleet.observe(load(1, is_open=False))
         self.assertIsNone(self.choose())
         self.fleet.observe(load(2, is_open=False))
-        self.clock.advance(fleet.FIRST_REPORT_MS)
+        self.clock.advance(fleet.FIRST_REPORT_TIMEOUT_MS)
         self.assertIsNone(self.choose())
         self.fleet.observe(load(2))
         self.assertEqual(self.choose(), "b")
@@ -137,7 +137,7 @@
     def test_an_engine_that_opens_beside_others_is_used_at_once(self):
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1), b=item("b", 2), c=item("c", 3))
-        self.clock.advance(fleet.FIRST_REPORT_MS)
+        self.clock.advance(fleet.FIRST_REPORT_TIMEOUT_MS)
         self.fleet.observe(load(1, running=6, group="g"))
         self.fleet.observe(load(2, is_open=False, group="h"))
         self.fleet.observe(load(3, is_open=False, group="h"))
@@ -163,7 +163,7 @@
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1))
         self.assertIsNone(self.choose())
-        self.clock.advance(fleet.FIRST_REPORT_MS)
+        self.clock.advance(fleet.FIRST_REPORT_TIMEOUT_MS)
         self.assertEqual(self.choose(), "a")
 
     def test_leaving_and_broken_ones_get_nothing(self):
@@ -286,16 +286,16 @@
         # answered at its address meanwhile, and it came back under its own instance.
         self.apply(a=item("a", 1, born=1_000))
         former = self.fleet.upstreams["a"]
-        former.own, former.misplaced = 6, True
+        former.local_requests, former.misplaced = 6, True
         former.note_failure(0)
         self.fleet.observe(load(1, running=6, pace=12.0, group="g", born_ms=1_000))
         self.assertIsNone(self.choose())
         gone = []
-        self.fleet.on_gone = gone.append
+        self.fleet.on_departed = gone.append
         self.apply(a=item("a", 1, born=2_000, sequence=1))
         self.assertEqual(self.choose(), "a")
         fresh = self.fleet.upstreams["a"]
-        self.assertEqual((fresh.own, fresh.pace, fresh.group), (0, 1.0, ""))
+        self.assertEqual((fresh.local_requests, fresh.pace, fresh.group), (0, 1.0, ""))
         self.assertFalse(self.fleet.is_usable(former))
         self.assertEqual([entry.born_ms for entry in gone], [1_000])
 
@@ -312,9 +312,9 @@
 
     def test_a_first_word_of_its_birth_is_no_new_life(self):
         self.apply(a=item("a", 1))
-        self.fleet.upstreams["a"].own = 2
+        self.fleet.upstreams["a"].local_requests = 2
         self.fleet.observe(load(1, running=2, born_ms=1_000))
-        self.assertEqual(self.fleet.upstreams["a"].own, 2)
+        self.assertEqual(self.fleet.upstreams["a"].local_requests, 2)
 
     def test_an_unreadable_entry_is_counted_once(self):
         # The log fills with one bad entry: it was said anew at each change of any.
--- a/tests/gateway/test_held_requests.py
+++ b/tests/gateway/test_held_requests.py
@@ -83,7 +83,7 @@
 
     def test_those_that_heard_no_notice_learn_of_it_and_those_that_start(self):
         async def work(entries):
-            entries.all[0].requests.take_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: all(one.holds for one in entries.all))
             late = entries.start(3)
             entries.all.append(late)
@@ -97,7 +97,7 @@
     def test_a_hundred_that_counted_it_make_a_few_writes(self):
         async def work(entries):
             for one in entries.all:
-                one.requests.take_notice(THREE)
+                one.requests.receive_notice(THREE)
             await until(lambda: entries.stored() is not None)
             await asyncio.sleep(1.5)
             return entries.store.calls.count("/-/kv-txn")
@@ -106,7 +106,7 @@
 
     def test_the_third_writes_where_the_first_two_are_gone(self):
         async def work(entries):
-            entries.all[0].requests.take_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.stored() is not None)
 
         self.play(work, (WRITERS - 1,))
@@ -114,7 +114,7 @@
     def test_an_older_copy_of_the_store_loses_nothing(self):
         async def work(entries):
             copy = entries.store.copy()
-            entries.all[0].requests.take_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.stored() is not None)
             entries.store.restore(copy)
             self.assertIsNone(entries.stored())
@@ -125,7 +125,7 @@
     def test_an_outage_loses_nothing(self):
         async def work(entries):
             entries.store.faults.status = 503
-            entries.all[0].requests.take_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE)
             await asyncio.sleep(0.5)
             entries.store.faults.status = 0
             await until(lambda: entries.stored() is not None)
@@ -137,9 +137,9 @@
         async def work(entries):
             counted = entries.all[:2]
             for one in counted:
-                one.requests.take_notice(THREE)
+                one.requests.receive_notice(THREE)
             await until(lambda: all(one.holds for one in entries.all))
-            entries.all[2].requests.note_whole("f")
+            entries.all[2].requests.note_complete_answer("f")
             await until(lambda: not any(one.holds for one in entries.all))
             await asyncio.sleep(held_requests.LOOK_MS / 1000 + 0.5)
             return entries.stored(), [one.holds for one in entries.all]
@@ -149,12 +149,12 @@
 
     def test_crashes_behind_a_clearance_count_anew(self):
         async def work(entries):
-            entries.all[0].requests.take_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.all[2].holds)
-            entries.all[2].requests.note_whole("f")
+            entries.all[2].requests.note_complete_answer("f")
             await until(lambda: not entries.all[0].holds)
             later = CrashNotice("f", ("d@1", "e@1", "g@1"))
-            entries.all[0].requests.take_notice(later)
+            entries.all[0].requests.receive_notice(later)
             await until(lambda: entries.stored().held)
             return entries.stored()
 
@@ -162,7 +162,7 @@
 
     def test_its_lease_ends_the_hold_by_itself(self):
         async def work(entries):
-            entries.all[0].requests.take_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.all[1].holds)
             (ttl_ms,) = entries.store.copy().ttls_ms.values()
             self.assertAlmostEqual(ttl_ms, HOLD_MS, delta=2_000)
@@ -180,7 +180,7 @@
             entries.store.put(HELD_PREFIX + "g", b"[]")
             await asyncio.sleep(0.3)
             self.assertFalse(any(one.holds for one in entries.all))
-            entries.all[0].requests.take_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.store.get(HELD_PREFIX + "f") != b"{broken")
             return entries.stored()
 
--- a/tests/gateway/test_late_leader.py
+++ b/tests/gateway/test_late_leader.py
@@ -34,7 +34,7 @@
         async def play():
             group = LedGroup(63, 8, 252, 5)
             with mock.patch.object(planning, "plan_change", group.plan):
-                stall_ms = silent_agents.SILENCE_MS + 100
+                stall_ms = silent_agents.SILENCE_TIMEOUT_MS + 100
                 await group.run(2_000, stall=(1_000, stall_ms))
             return group.asked
 
@@ -79,7 +79,7 @@
                 await group.run(2_000)
             return group.asked
 
-        link_share = 7 * silent_agents.QUESTION_BYTES / 0.15 / 500_000
+        link_share = 7 * silent_agents.POLL_BYTES / 0.15 / 500_000
         self.assertLess(link_share, 0.1)
         self.assertEqual(len(run(play())), 7)
 
@@ -92,7 +92,7 @@
                 group.silent = set(range(1, 30))
                 for _ in range(12):
                     await group.run(200)
-                    await asyncio.sleep(silent_agents.POLL_MS / 1000 + 0.02)
+                    await asyncio.sleep(silent_agents.POLL_INTERVAL_MS / 1000 + 0.02)
             return set(group.asked)
 
         self.assertEqual(len(run(play())), 29)
--- a/tests/gateway/test_late_upstreams.py
+++ b/tests/gateway/test_late_upstreams.py
@@ -83,7 +83,7 @@
         self.plan(round(self.rng.expovariate(PER_S) * 1000), self.arrive)
         at = self.rng.randrange(ENTRIES)
         chosen = self.fleets[at].choose("svc", ())
-        chosen.own += 1
+        chosen.local_requests += 1
         if chosen.entry.instance == "i0" and self.now_ms >= HANGS_MS:
             self.lost += 1
             self.plan(OBJECTIVE_MS, self.late[at].note, chosen)
@@ -93,17 +93,17 @@
         self.plan(took_ms, self.answer, chosen, took_ms)
 
     def answer(self, chosen, took_ms):
-        chosen.own -= 1
+        chosen.local_requests -= 1
         chosen.note_latency(took_ms)
 
     def fail(self, chosen):
-        chosen.own -= 1
+        chosen.local_requests -= 1
         chosen.note_failure(self.clock.now_ms())
 
     def tell(self, sender, notice):
         for at, late in enumerate(self.late):
             if self.told and at != sender and self.rng.random() > 0.025:
-                late.take(notice)
+                late.receive_notice(notice)
 
 
 class TestLateUpstreams(unittest.TestCase):
@@ -117,7 +117,7 @@
 
     def test_another_life_of_the_upstream_is_not_blamed(self):
         played = PlayedHolds(1, told=True)
-        played.late[0].take(LateNotice("i0", 77))
+        played.late[0].receive_notice(LateNotice("i0", 77))
         first = played.fleets[0].upstreams["i0"]
         self.assertEqual(first.failures(played.clock.now_ms()), 0.0)
 
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -28,7 +28,7 @@
             self.assertEqual(self.placer.waiting, 1)
             self.placer.give_back(first)
             await second
-            return self.upstream.own
+            return self.upstream.local_requests
 
         self.assertEqual(run(wait()), 1)
 
@@ -37,7 +37,7 @@
             await self.take()
             with self.assertRaises(RefusedError):
                 await self.take(wait_ms=20)
-            return self.upstream.own, self.placer.waiting
+            return self.upstream.local_requests, self.placer.waiting
 
         self.assertEqual(run(wait()), (1, 0))
 
@@ -51,7 +51,7 @@
             self.placer.give_back(first)
             second.cancel()
             await asyncio.wait({second})
-            return second.cancelled(), self.upstream.own
+            return second.cancelled(), self.upstream.local_requests
 
         self.assertEqual(run(wait()), (True, 0))
 
@@ -64,7 +64,7 @@
             self.placer.give_back(first)
             with self.assertRaises(RefusedError):
                 await second
-            return self.upstream.own
+            return self.upstream.local_requests
 
         self.assertEqual(run(wait()), 0)
 
--- a/tests/gateway/test_restored_leaders.py
+++ b/tests/gateway/test_restored_leaders.py
@@ -126,7 +126,7 @@
         async def play():
             group = LedGroup(8, 6, 64, 11)
             group.alone, group.silent = alone, {3}
-            group.leader._silent.note_heard(3, "10.0.0.3:80", 0)
+            group.leader._silent.note_contact(3, "10.0.0.3:80", 0)
             with mock.patch.object(planning, "plan_change", group.plan):
                 await group.run(1_500)
             return group.leader._may_switch(), group.asked, group.leader.may_lead()
--- a/tests/gateway/test_spread.py
+++ b/tests/gateway/test_spread.py
@@ -96,7 +96,7 @@
         if upstream is None:
             self.waits_ms.append(LATE_WAIT_MS)
             return
-        upstream.own += 1
+        upstream.local_requests += 1
         at = int(upstream.entry.instance[1:])
         self.queues[at].append((self.clock.now_ms(), upstream))
         self.fill(at)
@@ -111,7 +111,7 @@
 
     def end(self, at, upstream):
         self.running[at] -= 1
-        upstream.own -= 1
+        upstream.local_requests -= 1
         self.fill(at)
 
 
--- a/tests/gateway/test_stated_rates.py
+++ b/tests/gateway/test_stated_rates.py
@@ -87,11 +87,11 @@
 
     def take(self, message, peer):
         if isinstance(message, PermitRequest):
-            self.permits.take_request(message, peer)
+            self.permits.receive_request(message, peer)
         elif isinstance(message, RateNotice):
-            self.rates.note_notice(self.fleet.upstreams[message.upstream], message)
+            self.rates.receive_notice(self.fleet.upstreams[message.upstream], message)
         else:
-            self.permits.take_reply(message)
+            self.permits.receive_reply(message)
 
     async def request(self):
         """Send one request where it may go; return its refusal, if it has one."""
@@ -328,20 +328,20 @@
     def test_anothers_word_that_is_older_counts_for_nothing(self):
         self.rates.note_answer(self.upstream, None)
         self.clock.advance(10)
-        self.rates.note_notice(self.upstream, RateNotice("a", 0, 2.0, 50))
+        self.rates.receive_notice(self.upstream, RateNotice("a", 0, 2.0, 50))
         self.assertIsNone(self.upstream.stated)
-        self.rates.note_notice(self.upstream, RateNotice("a", 0, 2.0, 5))
+        self.rates.receive_notice(self.upstream, RateNotice("a", 0, 2.0, 5))
         self.assertEqual(self.upstream.stated.rate_per_s, 2.0)
-        self.rates.note_notice(self.upstream, RateNotice("a", 9, 1.0, 0))
+        self.rates.receive_notice(self.upstream, RateNotice("a", 9, 1.0, 0))
         self.assertEqual(self.upstream.stated.rate_per_s, 2.0)
 
     def test_anothers_word_of_the_end_counts_unless_the_own_is_fresh(self):
         self.rates.note_answer(self.upstream, b"2")
         self.clock.advance(50)
-        self.rates.note_notice(self.upstream, RateNotice("a", 0, None, 0))
+        self.rates.receive_notice(self.upstream, RateNotice("a", 0, None, 0))
         self.assertIsNotNone(self.upstream.stated)
         self.clock.advance(100)
-        self.rates.note_notice(self.upstream, RateNotice("a", 0, None, 0))
+        self.rates.receive_notice(self.upstream, RateNotice("a", 0, None, 0))
         self.assertIsNone(self.upstream.stated)
 
     def test_what_is_no_rate_counts_as_not_said(self):
--- a/tests/gateway/test_upstream_crashes.py
+++ b/tests/gateway/test_upstream_crashes.py
@@ -102,7 +102,7 @@
     def test_a_later_life_shows_that_the_former_one_ended(self):
         async def work():
             self.assertFalse(await self.crashes.examine("cut", make_life()))
-            self.crashes.note_silence("silent", make_life())
+            self.crashes.note_unanswered("silent", make_life())
             await asyncio.sleep(LINK_MS / 1000 - 1)
             self.crashes.note_restart(make_life())
             self.assertEqual(self.requests.crashes("cut"), 1)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -113,8 +113,8 @@
     Mechanism(
         "first reports awaited",
         f"{GATEWAY}/fleet.py",
-        "FIRST_REPORT_MS = 700",
-        "FIRST_REPORT_MS = 0",
+        "FIRST_REPORT_TIMEOUT_MS = 700",
+        "FIRST_REPORT_TIMEOUT_MS = 0",
     ),
     Mechanism(
         "zone cost",
