--- a/packages/gateway/src/fuchsiahatch_gateway/departed_upstreams.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/departed_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that have gone, and that an older copy of the store still lists."""
+"""Removed upstreams that a store restored from an older copy may list again."""
 
 import dataclasses
 import typing as t
@@ -11,26 +11,26 @@
     from fuchsiahatch_core.clock import Clock
     from fuchsiahatch_gateway.known_upstream import Upstream
 
-#: Time for which one that has gone is remembered; a store's copy is some seconds old.
-REMEMBERED_MS = 60_000
+#: Time for which a removed upstream is remembered; a store's copy is some seconds old.
+RETENTION_MS = 60_000
 
 
 @dataclasses.dataclass(slots=True)
-class _Departed:
-    """The last word of one that has gone, when, and whether it came up again."""
+class _RemovedUpstream:
+    """Last known state of a removed upstream, and whether it was listed again."""
 
     born_ms: int
-    told: tuple[int, int]
-    at_ms: int
+    entry_version: tuple[int, int]
+    removed_ms: int
     listed_again: bool = False
 
 
 class DepartedUpstreams:
-    """Remembers who has gone of late.
+    """Remembers the recently removed upstreams.
 
-    Guards against a store that comes back from a copy made before an upstream left: its
-    entry is there again, ready, and would get requests in a life that it ends, seconds
-    behind the end of its drain.
+    After a store is restored from a copy made before an upstream left, the upstream's
+    entry is listed as ready again. Without this check an upstream that shuts down would
+    get requests seconds after the end of its drain.
 
     Parameters
     ----------
@@ -41,34 +41,37 @@
 
     def __init__(self, clock: "Clock") -> None:
         self._clock = clock
-        self._departed: dict[str, _Departed] = {}
+        self._departed: dict[str, _RemovedUpstream] = {}
 
     def note(self, upstream: "Upstream") -> None:
-        """Remember an upstream whose entry is gone."""
+        """Remember an upstream whose entry was removed."""
         now_ms = self._clock.now_ms()
         self._departed = {
-            instance: one
-            for instance, one in self._departed.items()
-            if now_ms - one.at_ms < REMEMBERED_MS
+            instance: known
+            for instance, known in self._departed.items()
+            if now_ms - known.removed_ms < RETENTION_MS
         }
-        departed = _Departed(upstream.born_ms, upstream.told, now_ms)
+        departed = _RemovedUpstream(upstream.born_ms, upstream.entry_version, now_ms)
         self._departed[upstream.entry.instance] = departed
 
-    def has(self, entry: "UpstreamEntry", item: "Item") -> bool:
-        """Return whether an entry is one that is gone, as an older copy tells it.
+    def is_outdated(self, entry: "UpstreamEntry", item: "Item") -> bool:
+        """Return whether an entry is a removed one that comes from an older copy.
 
-        One of a later life is not, nor one that was written again since: its revision
-        is higher than what was known, where the copy's can't be.
+        The entry of a later incarnation isn't, nor is one written again since: its
+        revision is higher than the last known one, and that of a copy can't be.
         """
-        gone = self._departed.get(entry.instance)
-        if gone is None or self._clock.now_ms() - gone.at_ms >= REMEMBERED_MS:
+        departed = self._departed.get(entry.instance)
+        if (
+            departed is None
+            or self._clock.now_ms() - departed.removed_ms >= RETENTION_MS
+        ):
             return False
-        era, revision = gone.told
+        era, revision = departed.entry_version
         is_old = item.era > era and item.revision <= revision
-        if not is_old or entry.born_ms > gone.born_ms:
+        if not is_old or entry.born_ms > departed.born_ms:
             del self._departed[entry.instance]
             return False
-        if not gone.listed_again:
-            gone.listed_again = True
+        if not departed.listed_again:
+            departed.listed_again = True
             log_event(Event.UPSTREAM_GONE, upstream=entry.instance, detail="older copy")
         return True
--- a/packages/gateway/src/fuchsiahatch_gateway/fleet.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/fleet.py
@@ -1,4 +1,4 @@
-"""The upstreams that this entry knows, and the load that it believes each to have."""
+"""The upstreams known to this entry, their estimated load and the choice among them."""
 
 import dataclasses
 import random
@@ -16,47 +16,48 @@
     from fuchsiahatch_core.clock import Clock
     from fuchsiahatch_gateway.datagrams import LoadReport
 
-#: Requests that one fresh failure counts as, when upstreams are compared.
+#: Cost of one recent failure when upstreams are compared; all costs are in requests.
 FAILURE_COST = 3.0
-#: Requests that the want of any load report counts as, where others have one: after a
-#: loss of power, a group that has not formed yet has none.
+#: Cost of an upstream without any load report, where others of its service have one:
+#: after a power loss, a group that has not formed yet sends none.
 UNKNOWN_COST = 4.0
-#: Requests that the silence of its agent counts as: more than any upstream has places.
+#: Cost of an upstream whose agent is silent: more than any upstream has slots.
 SILENT_COST = 50.0
-#: Requests that a way into another zone counts as: it only breaks ties.
+#: Cost of an upstream in another zone: it only breaks ties.
 ZONE_COST = 0.2
-#: Upstreams that one choice compares, drawn at random. Load reports are old: of 64
-#: engines some 40 streams are placed between two reports of one, and with 33 entries
-#: that all take the emptiest, these meet at the same few while others have free places.
-#: 0.38 of the streams waited 250 ms and more for a place so; 0.024 with the best of
-#: three, 0.019 of two, 0.031 of four and 0.064 of six (played, mean of three seeds, 131
-#: streams a second, reports each 300 ms). With reports each 100 ms two are worse than
-#: three: 0.0049 against 0.0030, and 0.0020 against 0.0013 with 7 entries, 16 engines.
-COMPARED = 3
-#: Time behind the first sight of an engine for which its first load report is waited
-#: for. Reports come each 100 ms; after a loss of power a rank group
-#: needs some 600 ms to form, and refuses whatever comes before.
+#: Upstreams compared for one choice, drawn at random. Load reports are stale: with 64
+#: engines some 40 streams are placed between two reports of an engine, and if each of
+#: 33 entries takes the least loaded one, the streams meet at the same few engines while
+#: others have free slots. At 131 streams per second and reports every 300 ms, the
+#: share of streams that wait 250 ms or more for a slot is 0.38 for the least loaded of
+#: all, 0.019 for the best of 2, 0.024 of 3, 0.031 of 4 and 0.064 of 6. With reports
+#: every 100 ms, 2 are worse than 3: 0.0049 against 0.0030, and 0.0020 against 0.0013
+#: with 7 entries and 16 engines.
+SAMPLE_SIZE = 3
+#: Time after an engine is first seen for which its first load report is awaited.
+#: Reports come every 100 ms; after a power loss a rank group needs some 600 ms to form,
+#: and refuses every request until then.
 FIRST_REPORT_TIMEOUT_MS = 700
-#: Time for which nothing is sent to a service's engines as the first of them opens: all
-#: ranks of its group have, and each tells so within its 100 ms of reports.
-GATHER_MS = 100
+#: Time for which a service's engines get no request after the first of them opens. All
+#: ranks of its group open together, and each reports it within 100 ms.
+OPENING_DELAY_MS = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Fastest:
-    """The best figures among the upstreams to choose from; 0 where none is known."""
+    """The lowest times among the candidates; 0 where none is known."""
 
     latency_ms: float
     pass_ms: float
 
 
 class Fleet:
-    """All upstreams.
+    """All known upstreams.
 
     Parameters
     ----------
     zone : str
-        Of this entry.
+        Zone of this entry.
     clock : Clock
     rng : random.Random
 
@@ -64,23 +65,23 @@
     ----------
     upstreams : dict of str to Upstream
         By instance.
-    on_gone : callable
-        Is given the entry of each upstream that is gone.
+    on_departed : callable
+        Called with the entry of each upstream that leaves, is removed or restarts.
     on_restarted : callable
-        Is given the former life of each upstream that has begun another.
+        Called with the previous incarnation of each upstream that restarts.
     engine_of : callable
-        Returns how a service's model engines work, whose agents report their load;
-        None for a plain service.
+        Returns the engine model of a service whose agents report the load of its
+        engines; None for a plain service.
     """
 
     __slots__ = (
         "_by_address",
         "_by_service",
         "_clock",
+        "_decoder",
         "_departed",
-        "_entries",
         "_opened_ms",
-        "_reports",
+        "_reporting",
         "_rng",
         "_zone",
         "engine_of",
@@ -95,10 +96,10 @@
         self._rng = rng
         self._by_address: dict[str, Upstream] = {}
         self._by_service: dict[str, list[Upstream]] = {}
-        self._entries = ItemDecoder(decode_upstream_entry)
+        self._decoder = ItemDecoder(decode_upstream_entry)
         self._departed = DepartedUpstreams(clock)
-        self._reports: set[str] = set()
-        #: When the first engine of a service opened while no other could be used.
+        self._reporting: set[str] = set()
+        #: When a service's first engine opened while no other was usable.
         self._opened_ms: dict[str, int] = {}
         self.upstreams: dict[str, Upstream] = {}
         self.on_departed: t.Callable[[UpstreamEntry], None] = lambda entry: None
@@ -106,49 +107,53 @@
         self.engine_of: t.Callable[[str], Engine | None] = lambda service: None
 
     def apply(self, items: t.Mapping[str, "Item"]) -> None:
-        """Take over the upstreams' entries, as they are in the store now."""
-        fresh = newest_by_address(self._entries.decode_all(items), items)
-        for instance in self.upstreams.keys() - fresh.keys():
-            gone = self.upstreams.pop(instance)
-            log_event(Event.UPSTREAM_GONE, upstream=instance, own=gone.local_requests)
-            self._departed.note(gone)
-            self.on_departed(gone.entry)
-        for instance, entry in fresh.items():
-            if not self._departed.has(entry, items[instance]):
-                self._put(entry, items[instance])
-        self._index()
+        """Apply the current upstream entries of the store."""
+        latest = newest_by_address(self._decoder.decode_all(items), items)
+        for instance in self.upstreams.keys() - latest.keys():
+            removed = self.upstreams.pop(instance)
+            log_event(
+                Event.UPSTREAM_GONE, upstream=instance, own=removed.local_requests
+            )
+            self._departed.note(removed)
+            self.on_departed(removed.entry)
+        for instance, entry in latest.items():
+            if not self._departed.is_outdated(entry, items[instance]):
+                self._apply_entry(entry, items[instance])
+        self._rebuild_indexes()
 
     def observe(self, load: "LoadReport") -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         upstream = self._by_address.get(load.upstream)
         if upstream is None or load.born_ms < upstream.born_ms:
             return
         if load.born_ms > upstream.born_ms:
-            # The agent sees a new life seconds before the store does.
-            upstream = self._begin_life(upstream, upstream.entry, load.born_ms)
+            # The agent detects a restart seconds before the store does.
+            upstream = self._start_incarnation(upstream, upstream.entry, load.born_ms)
         service = upstream.entry.service
         opens = load.open and (upstream.reported_ms is None or not upstream.open)
-        if opens and load.group and not self._open(service):
+        if opens and load.group and not self._open_upstreams(service):
             self._opened_ms[service] = self._clock.now_ms()
-        self._reports.add(service)
-        upstream.others = max(0, load.running + load.queued - upstream.local_requests)
+        self._reporting.add(service)
+        upstream.peer_requests = max(
+            0, load.running + load.queued - upstream.local_requests
+        )
         upstream.note_report(self._clock.now_ms())
         upstream.pace = load.pace
         upstream.open = load.open
         upstream.group = load.group
         upstream.pass_ms = load.pass_ms
-        self._relieve(upstream)
+        self._relieve_slow_rank(upstream)
 
     @property
     def unreadable(self) -> int:
-        """Entries that were passed over."""
-        return self._entries.unreadable
+        """Entries that were skipped."""
+        return self._decoder.unreadable
 
-    def _relieve(self, upstream: Upstream) -> None:
-        """Move requests away from a rank that all others of its group wait for.
+    def _relieve_slow_rank(self, upstream: Upstream) -> None:
+        """Move requests away from a rank that slows down its whole group.
 
-        Streams that ran there as it became slow went on for 24 passes of 350 ms, and so
-        did those of all other ranks; without them passes took 70 ms.
+        Otherwise streams that run there when it becomes slow continue for 24 passes of
+        350 ms, as do the streams of all other ranks; without them a pass takes 70 ms.
         """
         if not upstream.movers or not upstream.group:
             return
@@ -162,43 +167,43 @@
             move()
 
     def usable(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service that may get new work."""
-        usable = self._open(service)
-        others = len(self._by_service.get(service, ())) - len(usable)
-        return [] if self._gathers(service, others) else usable
+        """Return the upstreams of a service that may get new requests."""
+        usable = self._open_upstreams(service)
+        unavailable = len(self._by_service.get(service, ())) - len(usable)
+        return [] if self._delays_opening(service, unavailable) else usable
 
-    def _open(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service that could work, gathered or not.
+    def _open_upstreams(self, service: str) -> list[Upstream]:
+        """Return the upstreams of a service that are open, during the delay too.
 
-        Those that are being gathered count as open: each further one would begin the
-        time anew, and engines that open 50 ms apart were withheld until the last had.
+        If those that are delayed didn't count as open, each further one would restart
+        the delay, and engines that open 50 ms apart would be withheld until the last
+        one is open.
         """
         return [
             upstream
             for upstream in self._by_service.get(service, ())
-            if upstream.takes_work and not self._awaits_report(upstream)
+            if upstream.accepts_requests and not self._awaits_report(upstream)
         ]
 
-    def _gathers(self, service: str, others: int) -> bool:
-        """Return whether more engines are about to open than the first one.
+    def _delays_opening(self, service: str, unavailable: int) -> bool:
+        """Return whether further engines are about to open after the first one.
 
-        Guards against all that waits at all entries going to that one: of some 200
-        requests on 5 places a hundred were refused, and the others late.
+        Otherwise the first one gets every request that waits at any entry: of some 200
+        requests for 5 slots a hundred are refused, and the rest are late.
         """
         opened_ms = self._opened_ms.get(service)
-        if opened_ms is None or not others:
+        if opened_ms is None or not unavailable:
             return False
-        return self._clock.now_ms() - opened_ms < GATHER_MS
+        return self._clock.now_ms() - opened_ms < OPENING_DELAY_MS
 
     def _awaits_report(self, upstream: Upstream) -> bool:
-        """Return whether it is too early to send anything to an engine.
-
-        Guards against a restart of everything at once: an entry serves some 500 ms
-        before the rank groups have formed, each request that it sends there is refused,
-        and the few second sends that a new process may make are used up at once. Each
-        engine's own report is waited for: agents start over half a second, and while
-        the first of them said that their groups were forming, the other engines got
-        400 requests, and refused them.
+        """Return whether an engine gets no request before its first load report.
+
+        When everything restarts at once, an entry serves some 500 ms before the rank
+        groups have formed. Each request that it sends there is refused, which uses up
+        the small retry budget of a new process. Each engine's own report is awaited:
+        agents start over half a second, and while the first of them report that their
+        groups are forming, the other engines would get 400 requests and refuse them.
         """
         if upstream.reported_ms is not None:
             return False
@@ -207,14 +212,14 @@
         return self.engine_of(upstream.entry.service) is not None
 
     def is_usable(self, upstream: Upstream) -> bool:
-        """Return whether an upstream may still get new work."""
+        """Return whether an upstream may still get new requests."""
         known = self.upstreams.get(upstream.entry.instance)
-        return known is upstream and upstream.takes_work
+        return known is upstream and upstream.accepts_requests
 
     def choose(
         self, service: str, tried: t.Collection[str], only_unlimited: bool = False
     ) -> Upstream | None:
-        """Return an upstream that is expected to answer soon, if any has a place.
+        """Return an upstream that is expected to answer soon, if any has a free slot.
 
         Parameters
         ----------
@@ -222,7 +227,7 @@
         tried : collection of str
             Instances that are chosen only when there is no other.
         only_unlimited : bool, optional
-            Whether to leave out those that name the rate they take.
+            Whether to skip upstreams with a stated rate.
         """
         now_ms = self._clock.now_ms()
         usable = self.usable(service)
@@ -235,65 +240,69 @@
             and not (only_unlimited and upstream.stated)
             and upstream.load(now_ms) < upstream.places(engine, paces[upstream.group])
         ]
-        candidates = self._sound(self._untried(free, tried), now_ms)
+        candidates = self._of_known_load(self._untried(free, tried), now_ms)
         if not candidates:
             return None
-        latencies = [one.latency_ms for one in candidates if one.latency_ms]
-        passes = [one.pass_ms for one in candidates if one.pass_ms]
+        latencies = [known.latency_ms for known in candidates if known.latency_ms]
+        passes = [known.pass_ms for known in candidates if known.pass_ms]
         fastest = _Fastest(min(latencies, default=0.0), min(passes, default=0.0))
-        drawn = self._rng.sample(candidates, min(COMPARED, len(candidates)))
-        return min(drawn, key=lambda one: self._cost(one, now_ms, fastest))
+        drawn = self._rng.sample(candidates, min(SAMPLE_SIZE, len(candidates)))
+        return min(drawn, key=lambda known: self._cost(known, now_ms, fastest))
 
     def permit_wait_ms(self, service: str) -> int | None:
-        """Return when a permit may be had, where all that could work need one.
+        """Return the time until a permit may be asked for, if every upstream needs one.
 
-        None where some upstream may be sent to at any rate, be it full now.
+        None where some upstream needs no permit, even if it is full now.
         """
         now_ms = self._clock.now_ms()
-        waits_ms = [one.limited_until_ms - now_ms for one in self.usable(service)]
+        waits_ms = [known.limited_until_ms - now_ms for known in self.usable(service)]
         if not waits_ms or min(waits_ms) <= 0:
             return None
         return min(waits_ms)
 
-    def _sound(self, candidates: list[Upstream], now_ms: int) -> list[Upstream]:
-        """Leave out those whose load isn't known, if others are left.
+    def _of_known_load(self, candidates: list[Upstream], now_ms: int) -> list[Upstream]:
+        """Skip candidates of unknown load, if others are left.
 
-        A choice that compares a few would otherwise find nothing but upstreams that
-        nobody can reach, where many of them are silent at once.
+        Where many agents are silent at once, a small random sample could otherwise
+        consist of unreachable upstreams only.
         """
-        sound = [one for one in candidates if not self._unknown_cost(one, now_ms)]
-        return sound or candidates
+        known_load = [
+            known for known in candidates if not self._unknown_load_cost(known, now_ms)
+        ]
+        return known_load or candidates
 
-    def _unknown_cost(self, upstream: Upstream, now_ms: int) -> float:
-        """Return what the want of a fresh load report counts as."""
+    def _unknown_load_cost(self, upstream: Upstream, now_ms: int) -> float:
+        """Return the cost of a missing or overdue load report."""
         if upstream.reported_ms is None:
-            return UNKNOWN_COST if upstream.entry.service in self._reports else 0.0
+            return UNKNOWN_COST if upstream.entry.service in self._reporting else 0.0
         return SILENT_COST if upstream.is_silent(now_ms) else 0.0
 
     def _untried(
         self, free: list[Upstream], tried: t.Collection[str]
     ) -> list[Upstream]:
-        """Leave out those that were tried, and their groups, if others are left.
+        """Skip upstreams that were tried, and their groups, if others are left.
 
-        All ranks of a group stand still together when one of them dies.
+        All ranks of a group stall together when one of them dies.
         """
-        fresh = [one for one in free if one.entry.instance not in tried]
+        untried = [known for known in free if known.entry.instance not in tried]
         groups = {
             self.upstreams[instance].group
             for instance in tried
             if instance in self.upstreams
         }
-        elsewhere = [one for one in fresh if not one.group or one.group not in groups]
-        return elsewhere or fresh or free
+        elsewhere = [
+            known for known in untried if not known.group or known.group not in groups
+        ]
+        return elsewhere or untried or free
 
     def _cost(self, upstream: Upstream, now_ms: int, fastest: "_Fastest") -> float:
-        # All ranks of a group are as slow as its slowest: one slow engine makes late
-        # what the seven others write.
+        # A group is as slow as its slowest rank: one slow engine delays the streams of
+        # the 7 others.
         slowness = upstream.pace
         if upstream.pass_ms:
             slowness = max(slowness, upstream.pass_ms / fastest.pass_ms)
         cost = (upstream.load(now_ms) + 1) * slowness
-        cost += self._unknown_cost(upstream, now_ms)
+        cost += self._unknown_load_cost(upstream, now_ms)
         cost += FAILURE_COST * upstream.failures(now_ms)
         if upstream.entry.zone != self._zone:
             cost += ZONE_COST
@@ -301,46 +310,46 @@
             cost += upstream.latency_ms / fastest.latency_ms - 1.0
         return cost
 
-    def _put(self, entry: UpstreamEntry, item: "Item") -> None:
+    def _apply_entry(self, entry: UpstreamEntry, item: "Item") -> None:
         instance = entry.instance
         known = self.upstreams.get(instance)
         if known is None:
             now_ms = self._clock.now_ms()
             self.upstreams[instance] = Upstream(
-                entry, born_ms=entry.born_ms, seen_ms=now_ms, told=item.told
+                entry, born_ms=entry.born_ms, seen_ms=now_ms, entry_version=item.told
             )
             log_event(Event.UPSTREAM_SEEN, upstream=instance, service=entry.service)
             return
         if 0 < entry.born_ms < known.born_ms:
-            # Of a former life; its agent has spoken of the present one already.
+            # Of a previous incarnation; the agent has already reported the current one.
             return
         if entry.born_ms > known.born_ms or entry.address != known.entry.address:
-            known = self._begin_life(known, entry, entry.born_ms)
+            known = self._start_incarnation(known, entry, entry.born_ms)
         if entry.leaving and not known.entry.leaving:
             log_event(
                 Event.UPSTREAM_LEAVING, upstream=instance, own=known.local_requests
             )
             self.on_departed(entry)
-        elif known.entry.leaving and item.era > known.told[0]:
-            # The store came back from a copy in which it had not begun to leave. Who
-            # leaves does so for the rest of its life, and gets no new request.
+        elif known.entry.leaving and item.era > known.entry_version[0]:
+            # The store was restored from a copy in which the upstream was not leaving
+            # yet. Leaving is final for an incarnation: it gets no new request.
             entry = dataclasses.replace(entry, leaving=True)
         else:
-            known.told = item.told
+            known.entry_version = item.told
         known.entry = entry
 
-    def _begin_life(
+    def _start_incarnation(
         self, former: Upstream, entry: UpstreamEntry, born_ms: int
     ) -> Upstream:
-        """Forget all that is believed of an upstream's former life.
+        """Replace the state of an upstream that restarted by a new one.
 
-        Guards against an upstream that starts anew under its instance: it was taken
-        for misplaced for ever where another one had answered at its address meanwhile,
-        and kept the load, pace and failures of a process that was gone. Requests under
-        way keep the former life's record, so that no place of the new one is freed.
+        An upstream that restarts under its instance name would otherwise keep the load,
+        pace and failures of the previous process, and stay misplaced for ever where
+        another upstream answered at its address meanwhile. Requests in flight keep the
+        previous incarnation's record, so that they free no slot of the new one.
         """
         if not former.born_ms and entry.address == former.entry.address:
-            # The first word of when it began: what is believed is of this life.
+            # The first known start time: the state is of this incarnation.
             former.born_ms = born_ms
             return former
         instance = entry.instance
@@ -353,17 +362,17 @@
         )
         self.on_departed(former.entry)
         self.on_restarted(former)
-        fresh = Upstream(
+        restarted = Upstream(
             dataclasses.replace(entry, leaving=False),
             born_ms=born_ms,
             seen_ms=self._clock.now_ms(),
         )
-        self.upstreams[instance] = fresh
-        self._index()
-        return fresh
+        self.upstreams[instance] = restarted
+        self._rebuild_indexes()
+        return restarted
 
-    def _index(self) -> None:
-        """Make anew what upstreams are found by, but for their instance."""
+    def _rebuild_indexes(self) -> None:
+        """Rebuild the lookups by address and by service."""
         self._by_address = {}
         self._by_service = {}
         for upstream in self.upstreams.values():
@@ -374,8 +383,8 @@
 def _fastest_paces(upstreams: t.Iterable[Upstream]) -> dict[str, float]:
     """Return the pace of the fastest upstream of each group."""
     paces: dict[str, float] = {}
-    for one in upstreams:
-        paces[one.group] = min(one.pace, paces.get(one.group, one.pace))
+    for known in upstreams:
+        paces[known.group] = min(known.pace, paces.get(known.group, known.pace))
     return paces
 
 
@@ -384,14 +393,14 @@
 ) -> dict[str, UpstreamEntry]:
     """Return the newest entry of each address.
 
-    An upstream that starts anew may have a new entry at once, and its former life's
-    stays for seconds until it lapses. Half of all requests would go to lives that are
-    gone, and be refused there.
+    An upstream that restarts may have a new entry at once, while that of its previous
+    incarnation stays for seconds until it expires. Otherwise half of all requests would
+    be sent as to ended processes, and be refused there.
     """
 
     def age(entry: UpstreamEntry) -> tuple[int, int, int]:
-        # Its own word goes first: a store that came back from an older copy may have
-        # made the entry of the former life at a later revision.
+        # The upstream's own start time takes precedence: a store restored from an older
+        # copy may have created the previous incarnation's entry at a later revision.
         item = items[entry.instance]
         return entry.born_ms, item.era, item.created
 
--- a/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
@@ -1,4 +1,4 @@
-"""One upstream, and what an entry believes of it."""
+"""One upstream, as an entry sees it."""
 
 import dataclasses
 import typing as t
@@ -10,68 +10,69 @@
     from fuchsiahatch_adapter.upstreams import UpstreamEntry
     from fuchsiahatch_gateway.stated_rates import StatedRate
 
-#: Time in which an upstream's failure counts half.
+#: Time after which a failure of an upstream counts half.
 FAILURE_HALF_LIFE_MS = 2_000
-#: Failures below which none count, lest a trace of an old one decides all ties.
-FORGOTTEN_FAILURES = 0.05
-#: Silence of an agent behind which its upstream is chosen last: its host may stand
-#: still. In usual pauses between its reports, and in all. It looked emptier than all
-#: others from then on, and most requests went to an engine that nobody could reach.
-SILENT_REPORTS = 4.0
-SILENT_MS = 300
-#: Weight of the newest pause between two reports in their running mean.
-REPORT_PAUSE_WEIGHT = 0.2
-#: Weight of the newest of a plain upstream's latencies in their running mean.
+#: Decayed failures below this count as none; otherwise an old one decides all ties.
+MIN_FAILURES = 0.05
+#: Silence of an agent after which its upstream is chosen last, in usual intervals
+#: between its reports and at least: its host may have stalled. Otherwise it looks less
+#: loaded than all others from then on, and most requests go to an unreachable engine.
+SILENCE_REPORT_INTERVALS = 4.0
+MIN_SILENCE_MS = 300
+#: Weight of the latest interval between two reports in their running mean.
+REPORT_INTERVAL_WEIGHT = 0.2
+#: Weight of a plain upstream's latest latency in the running mean.
 LATENCY_WEIGHT = 0.3
 
 
 @dataclasses.dataclass(slots=True)
 class Upstream:
-    """One upstream and what this entry believes of it.
+    """One upstream and this entry's view of it.
 
     Attributes
     ----------
     entry : UpstreamEntry
-    own : int
-        Requests that this entry has sent there and that have not ended.
-    others : int
-        Requests of other entries, from the last load report.
+    local_requests : int
+        Requests in flight there that this entry has sent.
+    peer_requests : int
+        Requests of other entries, from the latest load report.
     reported_ms : int or None
-        When that report came.
-    report_pause_ms : float
-        Running mean of the pauses between two reports.
+        When that report was received.
+    report_interval_ms : float
+        Running mean of the intervals between two reports.
     pace : float
+        How much slower than usual its engine works; 1 is the usual pace.
     open : bool
-        Whether its rank group works.
+        Whether its rank group is working.
     group : str
-        That group; empty where it has none or it isn't known.
+        Rank group; empty where it has none or it isn't known.
     pass_ms : float
-        Time that a pass of the group takes; 0 while it is idle or not known.
+        Duration of a pass of the group; 0 while it is idle or unknown.
     misplaced : bool
         Whether another upstream answered at its address.
     latency_ms : float
-        Running mean of its answers; 0 before the first.
+        Running mean of its response times; 0 before the first.
     born_ms : int
-        Start of the life that all of this is believed of; 0 while it isn't known.
+        Start time of this incarnation; 0 while it isn't known.
     seen_ms : int
-        When this entry first saw it in this life.
-    told : (int, int)
+        When this entry first saw this incarnation.
+    entry_version : (int, int)
         Era and revision of its entry in the store.
     stated : StatedRate or None
-        The rate that it says it takes, while it does.
+        Its stated rate, while it states one.
     rate_said_ms : int
-        When it last said so, or said nothing of it.
+        When an answer last stated the rate or had none.
     limited_until_ms : int
         When a permit to send there may be asked for again.
     movers : set of callable
-        Each lets a request under way there go on elsewhere, if it may.
+        Each moves one request in flight there to another upstream, if that is allowed.
     """
 
     entry: "UpstreamEntry"
     local_requests: int = 0
-    others: int = 0
+    peer_requests: int = 0
     reported_ms: int | None = None
-    report_pause_ms: float = float(REPORT_MS)
+    report_interval_ms: float = float(REPORT_MS)
     pace: float = 1.0
     open: bool = True
     group: str = ""
@@ -80,7 +81,7 @@
     latency_ms: float = 0.0
     born_ms: int = 0
     seen_ms: int = 0
-    told: tuple[int, int] = (0, 0)
+    entry_version: tuple[int, int] = (0, 0)
     stated: "StatedRate | None" = None
     rate_said_ms: int = -1
     limited_until_ms: int = 0
@@ -89,57 +90,56 @@
     _failed_ms: int = 0
 
     @property
-    def takes_work(self) -> bool:
-        """Whether it may get new requests."""
+    def accepts_requests(self) -> bool:
+        """Whether it may be sent new requests."""
         return self.open and not self.misplaced and not self.entry.leaving
 
     @property
     def life(self) -> str:
-        """Name of this life of the upstream; a later one has another."""
+        """Identifier of this incarnation of the upstream."""
         return f"{self.entry.instance}@{self.born_ms}"
 
     def load(self, now_ms: int) -> int:
-        """Return the requests that are believed to be there."""
+        """Return the estimated number of requests in flight there."""
         if self.reported_ms is None or now_ms - self.reported_ms > LOAD_LIMIT_MS:
             return self.local_requests
-        return self.local_requests + self.others
+        return self.local_requests + self.peer_requests
 
     def report_age_ms(self, now_ms: int) -> int | None:
-        """Return how old the last load report is; None without one."""
+        """Return the age of the latest load report; None without one."""
         return None if self.reported_ms is None else now_ms - self.reported_ms
 
     def is_silent(self, now_ms: int) -> bool:
-        """Return whether its agent, that reported its load, does so no more."""
+        """Return whether its agent has stopped sending load reports."""
         if self.reported_ms is None:
             return False
         return now_ms - self.reported_ms > self._silence_ms
 
     @property
     def _silence_ms(self) -> float:
-        return max(SILENT_MS, SILENT_REPORTS * self.report_pause_ms)
+        return max(MIN_SILENCE_MS, SILENCE_REPORT_INTERVALS * self.report_interval_ms)
 
     def note_report(self, now_ms: int) -> None:
-        """Note that its agent was heard.
+        """Note the receipt of a load report.
 
-        A silence counts as the longest pause that would have been none: a host that
-        stood still changes the mean little, and reports that come less often than
-        before, as those of an engine that has room again, aren't taken for silences
-        for ever.
+        An interval counts for at most the silence limit. So a host that stalled hardly
+        changes the mean, and it still adapts where reports become less frequent, as
+        those of an engine with free slots do, rather than counting as silence for ever.
         """
         if self.reported_ms is not None:
-            pause_ms = min(now_ms - self.reported_ms, self._silence_ms)
-            self.report_pause_ms += REPORT_PAUSE_WEIGHT * (
-                pause_ms - self.report_pause_ms
+            interval_ms = min(now_ms - self.reported_ms, self._silence_ms)
+            self.report_interval_ms += REPORT_INTERVAL_WEIGHT * (
+                interval_ms - self.report_interval_ms
             )
         self.reported_ms = now_ms
 
     def places(self, engine: "Engine | None", fastest_pace: float) -> float:
-        """Return how many requests it is given; fewer where it is slow.
+        """Return how many requests it may have at once; fewer where it is slow.
 
         Parameters
         ----------
         engine : Engine or None
-            How its service's engines work.
+            Engine model of its service.
         fastest_pace : float
             Pace of the fastest rank of its group.
         """
@@ -153,35 +153,36 @@
         self._failed_ms = now_ms
 
     def failures(self, now_ms: int) -> float:
-        """Return the failures of late, older ones counted less."""
+        """Return the recent failures, which decay with age."""
         if not self._failures:
             return 0.0
         age_ms = now_ms - self._failed_ms
-        left = self._failures * 0.5 ** (age_ms / FAILURE_HALF_LIFE_MS)
-        return left if left > FORGOTTEN_FAILURES else 0.0
+        decayed = self._failures * 0.5 ** (age_ms / FAILURE_HALF_LIFE_MS)
+        return decayed if decayed > MIN_FAILURES else 0.0
 
     def note_latency(self, latency_ms: float) -> None:
-        """Take an answer's latency into the running mean."""
+        """Add an answer's latency to the running mean."""
         if not self.latency_ms:
             self.latency_ms = latency_ms
         self.latency_ms += LATENCY_WEIGHT * (latency_ms - self.latency_ms)
 
 
 def places_of_rank(engine: "Engine", places: int, slowness: float) -> float:
-    """Return how many requests a slow rank may have before its group waits for it.
+    """Return how many requests a slow rank may have before it slows down its group.
 
-    All ranks wait in each pass for the one whose own requests take longest. A slow rank
-    is filled up to the time that a full one of the usual pace takes: none at all from
-    twice that time on, with 6 places. With one place at least, an engine at a
-    twelfth of its pace kept passes at 315 ms after its experts had left it.
+    In each pass all ranks wait for the one whose requests take longest. A slow rank
+    gets as many requests as it handles in the step time of a full rank of the usual
+    pace; with 6 slots of the demo engine, none from 2.5 times the usual step time on.
+    There is no minimum of one: an engine at a twelfth of its pace would keep passes at
+    315 ms after its experts have moved away.
 
     Parameters
     ----------
     engine : Engine
     places : int
-        Requests of a rank of the usual pace.
+        Slots of a rank of the usual pace.
     slowness : float
-        Its time for a step over the usual.
+        Its step time divided by the usual one.
     """
     if slowness <= 1.0 or not engine.step_ms_per_request:
         return places / slowness
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -41,19 +41,19 @@
         self.fleet.apply(items)
 
     def choose(self, tried=()):
-        found = self.fleet.choose("svc", tried)
-        return None if found is None else found.entry.instance
+        chosen = self.fleet.choose("svc", tried)
+        return None if chosen is None else chosen.entry.instance
 
-    def test_the_newest_life_at_an_address_counts(self):
-        # After a loss of power half of all requests are refused for seconds: they go
-        # to former lives of upstreams, whose entries have not lapsed yet.
+    def test_the_newest_incarnation_at_an_address_counts(self):
+        # After a power loss half of all requests are refused for seconds: they go to
+        # previous incarnations of upstreams, whose entries haven't expired yet.
         self.apply(new=item("new", 80, created=9), old=item("old", 80, created=3))
         self.assertEqual(list(self.fleet.upstreams), ["new"])
 
-    def test_the_first_load_reports_of_engines_are_waited_for(self):
-        # After a loss of power of everything, a skipper's request is refused twice in
-        # a row: entries are up half a second before the rank groups have formed, and
-        # send what comes to engines that refuse it.
+    def test_the_first_load_reports_of_engines_are_awaited(self):
+        # After a complete power loss a request is refused twice in a row: entries are
+        # up half a second before the rank groups have formed, and send requests to
+        # engines that refuse them.
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1), b=item("b", 2))
         self.assertIsNone(self.choose())
@@ -62,11 +62,11 @@
         self.assertEqual(self.choose(), "b")
 
     def test_each_engine_gets_nothing_before_its_own_first_report(self):
-        # After a loss of power of everything four hundred briefs are refused, a third
-        # of them twice: entries are up before the agents. As the first agents report
-        # that their group is forming, all others' engines look open, get what comes,
-        # and refuse it. Evidence: all such refusals fell between the first agent's
-        # start and the last's, and ended as the groups had formed.
+        # After a complete power loss 400 requests are refused, a third of them twice:
+        # entries are up before the agents. When the first agents report that their
+        # group is forming, the engines of all other agents look open, get requests and
+        # refuse them. All such refusals come between the starts of the first and the
+        # last agent, and end when the groups have formed.
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1), b=item("b", 2))
         self.fleet.observe(load(1, is_open=False))
@@ -77,55 +77,55 @@
         self.fleet.observe(load(2))
         self.assertEqual(self.choose(), "b")
 
-    def test_the_first_engine_that_opens_does_not_get_all_that_waits(self):
-        # Behind a loss of all power the first engine of 64 that can take briefs gets
-        # those of all 33 entries at once: it has 5 places and room for 20 more, and
-        # refuses a hundred; others wait for a second in its queue. Its group opened
-        # with it, and the other reports were some 100 ms away. Evidence: the refusals
-        # came 3 ms behind a report 0 to 2 ms old, all at three engines.
+    def test_the_first_engine_that_opens_does_not_get_all_waiting_requests(self):
+        # After a complete power loss the first of 64 engines that opens gets the
+        # requests of all 33 entries at once: it has 5 slots and queues 20 more, and
+        # refuses 100; others wait in its queue for a second. Its group opened with it,
+        # and the reports of the other ranks were some 100 ms away. The refusals came
+        # 3 ms after a report that was 0 to 2 ms old, all at three engines.
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1), b=item("b", 2), c=item("c", 3))
         for port in (1, 2, 3):
             self.fleet.observe(load(port, is_open=False, group="g"))
         self.fleet.observe(load(1, group="g"))
         self.assertIsNone(self.choose())
-        self.clock.advance(fleet.GATHER_MS)
+        self.clock.advance(fleet.OPENING_DELAY_MS)
         self.fleet.observe(load(2, group="g"))
         self.assertIn(self.choose(), ("a", "b"))
 
-    def test_engines_that_open_one_by_one_are_withheld_for_one_gathering(self):
-        # Behind a loss of all power the ranks of a group open one after another, some
-        # 50 ms apart. Callers wait until the last of them has opened, though the first
-        # have had room for long: each further one that opens begins the gathering
-        # anew, since none counts as usable while they are gathered.
+    def test_engines_that_open_one_by_one_are_withheld_for_one_delay(self):
+        # After a complete power loss the ranks of a group open one after another, some
+        # 50 ms apart. Callers wait until the last one has opened, though the first have
+        # had free slots for long: each further one restarts the delay, as none counts
+        # as usable during it.
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(**{name: item(name, port) for port, name in enumerate("abcd", 1)})
         for port in (1, 2, 3, 4):
             self.fleet.observe(load(port, is_open=False, group="g"))
         self.fleet.observe(load(1, group="g"))
-        self.clock.advance(fleet.GATHER_MS // 2)
+        self.clock.advance(fleet.OPENING_DELAY_MS // 2)
         self.fleet.observe(load(2, group="g"))
         self.assertIsNone(self.choose())
-        self.clock.advance(fleet.GATHER_MS - fleet.GATHER_MS // 2)
+        self.clock.advance(fleet.OPENING_DELAY_MS - fleet.OPENING_DELAY_MS // 2)
         self.fleet.observe(load(3, group="g"))
         self.assertIn(self.choose(), ("a", "b", "c"))
 
-    def test_a_group_that_opens_again_is_gathered_again(self):
-        # A rank dies and its group forms anew: all its engines close, and the first
-        # to open again would get what all entries hold back.
+    def test_a_group_that_opens_again_is_delayed_again(self):
+        # A rank dies and its group forms again: all its engines close, and the first to
+        # open again would get the waiting requests of all entries.
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1), b=item("b", 2))
         self.fleet.observe(load(1, group="g"))
         self.fleet.observe(load(2, group="g"))
-        self.clock.advance(10 * fleet.GATHER_MS)
+        self.clock.advance(10 * fleet.OPENING_DELAY_MS)
         for port in (1, 2):
             self.fleet.observe(load(port, is_open=False, group="g"))
         self.fleet.observe(load(2, group="g"))
         self.assertIsNone(self.choose())
-        self.clock.advance(fleet.GATHER_MS)
+        self.clock.advance(fleet.OPENING_DELAY_MS)
         self.assertEqual(self.choose(), "b")
 
-    def test_nothing_is_gathered_once_all_are_open(self):
+    def test_there_is_no_delay_once_all_are_open(self):
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1), b=item("b", 2))
         for port in (1, 2):
@@ -134,7 +134,7 @@
         self.fleet.observe(load(2, group="g"))
         self.assertIsNotNone(self.choose())
 
-    def test_an_engine_that_opens_beside_others_is_used_at_once(self):
+    def test_an_engine_that_opens_while_others_are_open_is_used_at_once(self):
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1), b=item("b", 2), c=item("c", 3))
         self.clock.advance(fleet.FIRST_REPORT_TIMEOUT_MS)
@@ -144,10 +144,10 @@
         self.fleet.observe(load(2, group="g"))
         self.assertEqual(self.choose(), "b")
 
-    def test_reports_that_come_less_often_again_are_no_silence(self):
-        # With a hundred entries an engine tells its load each 0.9 s, and each 0.1 s
-        # while it is nearly full. An hour behind a busy one, three quarters of all
-        # engines look silent to each entry at any moment, and the others get it all.
+    def test_reports_that_become_less_frequent_again_are_no_silence(self):
+        # With 100 entries an engine reports its load every 0.9 s, and every 0.1 s while
+        # it is nearly full. In the hour after a busy one, three quarters of all engines
+        # look silent to each entry at any moment, and the others get all requests.
         self.apply(a=item("a", 1))
         for _ in range(50):
             self.clock.advance(100)
@@ -159,14 +159,14 @@
         upstream = self.fleet.upstreams["a"]
         self.assertFalse(upstream.is_silent(self.clock.now_ms()))
 
-    def test_a_lack_of_load_reports_holds_nothing_up_for_long(self):
+    def test_missing_load_reports_delay_requests_for_a_limited_time(self):
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1))
         self.assertIsNone(self.choose())
         self.clock.advance(fleet.FIRST_REPORT_TIMEOUT_MS)
         self.assertEqual(self.choose(), "a")
 
-    def test_leaving_and_broken_ones_get_nothing(self):
+    def test_leaving_and_closed_upstreams_get_no_request(self):
         self.apply(a=item("a", 1, state="draining"), b=item("b", 2), c=item("c", 3))
         self.fleet.observe(load(2, is_open=False))
         self.assertEqual({self.choose() for _ in range(10)}, {"c"})
@@ -181,14 +181,14 @@
         self.fleet.observe(load(1, running=5, queued=2))
         self.assertIsNone(self.choose())
 
-    def test_an_old_report_counts_for_nothing(self):
+    def test_a_stale_report_is_ignored(self):
         self.apply(a=item("a", 1))
         self.fleet.observe(load(1, running=6))
         self.assertIsNone(self.choose())
         self.clock.advance(5_000)
         self.assertEqual(self.choose(), "a")
 
-    def test_a_slow_one_gets_fewer_places(self):
+    def test_a_slow_upstream_gets_fewer_requests(self):
         self.apply(a=item("a", 1), b=item("b", 2))
         self.fleet.observe(load(1, running=1, pace=6.0))
         self.fleet.observe(load(2, running=5))
@@ -196,10 +196,10 @@
         self.fleet.observe(load(2, running=6))
         self.assertIsNone(self.choose())
 
-    def test_a_very_slow_rank_of_a_group_gets_nothing(self):
-        # All streams of a service are late for as long as one engine of twelve works
-        # at a twelfth of its pace: it always got one request, and each pass of the
-        # group waited for that one's step.
+    def test_a_very_slow_rank_of_a_group_gets_no_request(self):
+        # All streams of a service are late while one of 12 engines works at a twelfth
+        # of its pace: with a minimum of one request, each pass of the group waits for
+        # the step of that request.
         self.fleet.engine_of = lambda service: ENGINE
         self.apply(a=item("a", 1), b=item("b", 2))
         self.fleet.observe(load(1, running=0, pace=12.0, group="g"))
@@ -220,8 +220,8 @@
             self.assertEqual(places_of_rank(ENGINE, 6, slowness), places)
 
     def test_a_slow_group_is_filled_last(self):
-        # Half of all streams stumble though every second place is free: requests go to
-        # the seven sound ranks of a group whose eighth works at a twelfth of its pace.
+        # Half of all streams have gaps though every second slot is free: requests go to
+        # the 7 healthy ranks of a group whose 8th works at a twelfth of its pace.
         self.apply(a=item("a", 1), b=item("b", 2))
         self.fleet.observe(load(1, running=1, group="g-1", pass_ms=700.0))
         self.fleet.observe(load(2, running=5, group="g-2", pass_ms=65.0))
@@ -230,8 +230,8 @@
         self.assertEqual(self.choose(), "a")
 
     def test_an_upstream_whose_agent_fell_silent_is_chosen_last(self):
-        # A twelfth of all engines gets most requests, and none of them is answered: its
-        # host stands still, nobody tells of its load, and it seems to be empty.
+        # One of 12 engines gets most requests, and none of them is answered: its host
+        # has stalled, its load is no longer reported, and it looks idle.
         self.apply(a=item("a", 1), b=item("b", 2))
         for _ in range(10):
             self.clock.advance(100)
@@ -244,7 +244,7 @@
         self.fleet.observe(load(2, running=6))
         self.assertEqual(self.choose(), "a")
 
-    def test_reports_that_come_seldom_are_no_silence(self):
+    def test_infrequent_reports_are_no_silence(self):
         self.apply(a=item("a", 1))
         for _ in range(30):
             self.clock.advance(400)
@@ -254,7 +254,7 @@
         self.clock.advance(800)
         self.assertTrue(self.fleet.upstreams["a"].is_silent(self.clock.now_ms()))
 
-    def test_one_without_a_report_comes_behind_those_with_one(self):
+    def test_an_upstream_without_a_report_is_chosen_after_those_with_one(self):
         self.apply(a=item("a", 1), b=item("b", 2))
         self.fleet.observe(load(2, running=3))
         self.assertEqual(self.choose(), "b")
@@ -266,14 +266,14 @@
         self.clock.advance(60_000)
         self.assertEqual({self.choose() for _ in range(30)}, {"a", "b"})
 
-    def test_a_tried_one_is_chosen_last(self):
+    def test_a_tried_upstream_is_chosen_last(self):
         self.apply(a=item("a", 1), b=item("b", 2))
         self.assertEqual({self.choose(("a",)) for _ in range(10)}, {"b"})
         self.assertIsNotNone(self.choose(("a", "b")))
 
-    def test_another_group_is_chosen_behind_a_failure(self):
-        # A stream stops twice: it was resumed at another rank of the group whose
-        # member had just died.
+    def test_another_group_is_chosen_after_a_failure(self):
+        # A stream stops twice: it is resumed at another rank of the group of which a
+        # member has just died.
         self.apply(a=item("a", 1), b=item("b", 2), c=item("c", 3))
         for port, group in ((1, "g-1"), (2, "g-1"), (3, "g-2")):
             self.fleet.observe(load(port, running=5 * (port == 3), group=group))
@@ -281,8 +281,8 @@
         self.fleet.observe(load(3, running=6, group="g-2"))
         self.assertEqual({self.choose(("a",)) for _ in range(10)}, {"b"})
 
-    def test_nothing_of_a_former_life_is_believed(self):
-        # A fifth of the places stays empty for good: an engine crashed, another one
+    def test_a_restart_discards_the_state_of_the_previous_incarnation(self):
+        # A fifth of the slots stays unused for good: an engine crashed, another one
         # answered at its address meanwhile, and it came back under its own instance.
         self.apply(a=item("a", 1, born=1_000))
         former = self.fleet.upstreams["a"]
@@ -290,18 +290,20 @@
         former.note_failure(0)
         self.fleet.observe(load(1, running=6, pace=12.0, group="g", born_ms=1_000))
         self.assertIsNone(self.choose())
-        gone = []
-        self.fleet.on_departed = gone.append
+        departed = []
+        self.fleet.on_departed = departed.append
         self.apply(a=item("a", 1, born=2_000, sequence=1))
         self.assertEqual(self.choose(), "a")
-        fresh = self.fleet.upstreams["a"]
-        self.assertEqual((fresh.local_requests, fresh.pace, fresh.group), (0, 1.0, ""))
+        current = self.fleet.upstreams["a"]
+        self.assertEqual(
+            (current.local_requests, current.pace, current.group), (0, 1.0, "")
+        )
         self.assertFalse(self.fleet.is_usable(former))
-        self.assertEqual([entry.born_ms for entry in gone], [1_000])
+        self.assertEqual([entry.born_ms for entry in departed], [1_000])
 
-    def test_the_agent_is_first_to_tell_of_a_new_life(self):
-        # A crashed engine is back within a second; its entry in the store still is the
-        # former life's, which left, and the load believed is that of its requests.
+    def test_the_agent_is_first_to_report_a_restart(self):
+        # A crashed engine is back within a second, while the store still has the entry
+        # of its previous incarnation, which is leaving and whose load is still known.
         self.apply(a=item("a", 1, born=1_000, state="draining"))
         self.fleet.observe(load(1, running=6, born_ms=1_000))
         self.fleet.observe(load(1, running=1, born_ms=2_000))
@@ -310,21 +312,21 @@
         self.fleet.observe(load(1, running=6, queued=9, born_ms=1_000))
         self.assertEqual(self.fleet.upstreams["a"].load(0), 1)
 
-    def test_a_first_word_of_its_birth_is_no_new_life(self):
+    def test_a_first_known_start_time_is_no_restart(self):
         self.apply(a=item("a", 1))
         self.fleet.upstreams["a"].local_requests = 2
         self.fleet.observe(load(1, running=2, born_ms=1_000))
         self.assertEqual(self.fleet.upstreams["a"].local_requests, 2)
 
     def test_an_unreadable_entry_is_counted_once(self):
-        # The log fills with one bad entry: it was said anew at each change of any.
+        # One bad entry would fill the log if it were logged at each change of any.
         broken = Item("servers/b", b"{", 1, 1)
         for _ in range(3):
             self.apply(a=item("a", 1), b=broken)
         self.assertEqual(self.fleet.unreadable, 1)
         self.assertEqual(list(self.fleet.upstreams), ["a"])
 
-    def test_an_entry_that_cannot_be_read_is_passed_over(self):
+    def test_an_unreadable_entry_is_skipped(self):
         broken = Item("servers/b", b"{", 1, 1)
         self.apply(a=item("a", 1), b=broken)
         self.assertEqual(list(self.fleet.upstreams), ["a"])
--- a/tests/gateway/test_spread.py
+++ b/tests/gateway/test_spread.py
@@ -1,4 +1,4 @@
-"""Many entries that choose among many engines, by load reports that are old."""
+"""Many entries that choose among many engines by stale load reports."""
 
 import collections
 import heapq
@@ -19,20 +19,20 @@
 
 ZONES = ("a", "b", "c", "d")
 SERVICE_MS = (600, 2_600)
-#: Wait for a place that, with 230 ms for the prompt, makes a first event late.
+#: Wait for a slot that, with 230 ms for the prompt, makes a first event late.
 LATE_WAIT_MS = 250
 
 
-class PlayedEngines:
-    """Engines with places and queues, and entries that send to them.
+class SimulatedEngines:
+    """Engines with slots and queues, and entries that send streams to them.
 
     Parameters
     ----------
     entries, engines, places : int
     per_s : float
-        Streams of all callers.
+        Streams per second of all callers.
     report_ms : int
-        Pause between two load reports of an engine.
+        Interval between two load reports of an engine.
     """
 
     def __init__(self, entries, engines, places, per_s, report_ms, seed=1):
@@ -58,7 +58,7 @@
         self.numbers = itertools.count()
 
     def late_share(self, seconds):
-        """Play and return the share of streams that waited too long for a place."""
+        """Simulate, and return the share of streams that waited too long for a slot."""
         for at in range(len(self.addresses)):
             self.plan(self.rng.randrange(self.report_ms), self.report, at)
         self.plan(self.report_ms, self.arrive)
@@ -67,8 +67,8 @@
             self.clock.advance(at_ms - self.clock.now_ms())
             act(*arguments)
         now_ms = self.clock.now_ms()
-        left = [now_ms - since for queue in self.queues for since, *_ in queue]
-        waits = self.waits_ms + left
+        queued = [now_ms - since for queue in self.queues for since, *_ in queue]
+        waits = self.waits_ms + queued
         return sum(wait >= LATE_WAIT_MS for wait in waits) / len(waits)
 
     def plan(self, after_ms, act, *arguments):
@@ -115,8 +115,8 @@
         self.fill(at)
 
 
-class PlayedAgents(PlayedEngines):
-    """Engines whose agents decide when the entries hear of their load."""
+class SimulatedAgents(SimulatedEngines):
+    """Engines whose agents decide when they report their load to the entries."""
 
     def __init__(self, entries, engines, places, per_s, seed=1):
         super().__init__(entries, engines, places, per_s, REPORT_MS, seed)
@@ -127,7 +127,7 @@
             types.SimpleNamespace(address=address, pass_ms=0.0, seen=None)
             for address in self.addresses
         ]
-        self.reporters = [Reporter(one, port, self.clock, 5e5) for one in self.ranks]
+        self.reporters = [Reporter(rank, port, self.clock, 5e5) for rank in self.ranks]
 
     def report(self, at):
         self.ranks[at].seen = types.SimpleNamespace(
@@ -147,29 +147,28 @@
 
 
 class TestSpread(unittest.TestCase):
-    def test_many_entries_with_old_reports_leave_no_queues_beside_free_places(self):
-        # One skipper in five waits a second for the first words of a brief, all day
-        # long, with a third of all places free. Each entry sends to the engine that
-        # looks emptiest; the next report is 300 ms away, and in that time 32 other
-        # entries do the same. Cause: choices by the same old loads, made alike.
-        # Evidence: each of 181 engines that streams left for their silence was believed
-        # to have 1 to 3 streams at the send, by a report some 200 ms old, and had 5 to
-        # 15 on 5 places a second later.
-        played = PlayedEngines(33, 64, 5, per_s=131, report_ms=300)
-        self.assertLess(played.late_share(20), 0.05)
-
-    def test_entries_hear_at_once_of_an_engine_that_fills_up(self):
-        # At the day's peak one brief in eleven starts late with a fifth of all places
-        # free: engines fill up between two reports, and entries go on sending to them.
-        # More reports for all would be three times the control traffic.
-        played = PlayedAgents(33, 64, 5, per_s=160)
-        self.assertLess(played.late_share(20), 0.05)
-        reports_per_s = played.sent / (33 * 64 * 20)
+    def test_many_entries_with_stale_reports_leave_no_queues_beside_free_slots(self):
+        # One caller in five waits a second for the first event of a stream, with a
+        # third of all slots free. Each entry sends to the engine that looks least
+        # loaded; the next report is 300 ms away, and until then 32 other entries choose
+        # alike by the same stale loads. Each of 181 engines that streams left because
+        # of its silence was estimated to have 1 to 3 streams when they were sent, by a
+        # report some 200 ms old, and had 5 to 15 on 5 slots a second later.
+        simulation = SimulatedEngines(33, 64, 5, per_s=131, report_ms=300)
+        self.assertLess(simulation.late_share(20), 0.05)
+
+    def test_entries_learn_at_once_of_an_engine_that_fills_up(self):
+        # At the day's peak one stream in 11 starts late with a fifth of all slots free:
+        # engines fill up between two reports, and entries go on sending to them. More
+        # frequent reports of all engines would be three times the control traffic.
+        simulation = SimulatedAgents(33, 64, 5, per_s=160)
+        self.assertLess(simulation.late_share(20), 0.05)
+        reports_per_s = simulation.sent / (33 * 64 * 20)
         self.assertLess(reports_per_s, 5.5)
 
-    def test_few_entries_with_fresh_reports_find_the_free_places(self):
-        played = PlayedEngines(7, 16, 6, per_s=38, report_ms=100)
-        self.assertLess(played.late_share(60), 0.02)
+    def test_few_entries_with_up_to_date_reports_find_the_free_slots(self):
+        simulation = SimulatedEngines(7, 16, 6, per_s=38, report_ms=100)
+        self.assertLess(simulation.late_share(60), 0.02)
 
 
 if __name__ == "__main__":
