--- a/tests/gateway/test_late_upstreams.py
+++ b/tests/gateway/test_late_upstreams.py
@@ -11,16 +11,16 @@
 from fuchsiahatch_core.clock import ManualClock
 from fuchsiahatch_gateway.datagrams import LateNotice
 from fuchsiahatch_gateway.fleet import Fleet
-from fuchsiahatch_gateway.late_upstreams import TELL_PAUSE_MS, LateUpstreams
+from fuchsiahatch_gateway.late_upstreams import NOTICE_INTERVAL_MS, LateUpstreams
 from fuchsiahatch_standins.fleet_store import make_upstream_entry
 from tests.gateway.sites import Site, answers, upstream
 from tests.loopback import run
 
 ENTRIES, UPSTREAMS = 38, 3
-#: Holds of a booking a second, the objective of one, and its time limit.
+#: Requests ("holds") per second, the latency objective of one, and its time limit.
 PER_S, OBJECTIVE_MS, LIMIT_MS = 15.2, 257, 1_200
 ANSWER_MS = (20, 110)
-#: When one upstream begins to answer nothing, and for how long.
+#: When one upstream stops answering, and for how long.
 HANGS_MS, HANGS_FOR_MS = 8_000, 6_400
 
 
@@ -32,14 +32,14 @@
     return script
 
 
-class PlayedHolds:
-    """Entries that send holds to three upstreams, one of which answers none."""
+class SimulatedEntries:
+    """Entries that send holds to 3 upstreams, one of which stops answering."""
 
-    def __init__(self, seed, told):
+    def __init__(self, seed, shares_notices):
         self.rng = random.Random(seed)
         self.clock = ManualClock()
         self.started_ms = self.clock.now_ms()
-        self.told = told
+        self.shares_notices = shares_notices
         items = {}
         for at in range(UPSTREAMS):
             fields = make_upstream_entry(
@@ -55,18 +55,18 @@
                 LateUpstreams(
                     self.clock,
                     fleet.upstreams,
-                    lambda notice, at=at: self.tell(at, notice),
+                    lambda notice, at=at: self.broadcast(at, notice),
                 )
             )
-        self.turns = []
+        self.events = []
         self.numbers = itertools.count()
         self.lost = 0
 
     def play(self):
-        """Return how many holds were sent to an upstream that answered none."""
-        self.plan(0, self.arrive)
-        while self.turns[0][0] < HANGS_MS + HANGS_FOR_MS:
-            at_ms, _, act, arguments = heapq.heappop(self.turns)
+        """Return how many holds were sent to the upstream while it answered none."""
+        self.schedule(0, self.arrive)
+        while self.events[0][0] < HANGS_MS + HANGS_FOR_MS:
+            at_ms, _, act, arguments = heapq.heappop(self.events)
             self.clock.advance(at_ms - self.now_ms)
             act(*arguments)
         return self.lost
@@ -75,22 +75,22 @@
     def now_ms(self):
         return self.clock.now_ms() - self.started_ms
 
-    def plan(self, after_ms, act, *arguments):
-        turn = (self.now_ms + after_ms, next(self.numbers), act, arguments)
-        heapq.heappush(self.turns, turn)
+    def schedule(self, after_ms, act, *arguments):
+        event = (self.now_ms + after_ms, next(self.numbers), act, arguments)
+        heapq.heappush(self.events, event)
 
     def arrive(self):
-        self.plan(round(self.rng.expovariate(PER_S) * 1000), self.arrive)
+        self.schedule(round(self.rng.expovariate(PER_S) * 1000), self.arrive)
         at = self.rng.randrange(ENTRIES)
         chosen = self.fleets[at].choose("svc", ())
         chosen.local_requests += 1
         if chosen.entry.instance == "i0" and self.now_ms >= HANGS_MS:
             self.lost += 1
-            self.plan(OBJECTIVE_MS, self.late[at].note, chosen)
-            self.plan(LIMIT_MS, self.fail, chosen)
+            self.schedule(OBJECTIVE_MS, self.late[at].note_late_answer, chosen)
+            self.schedule(LIMIT_MS, self.fail, chosen)
             return
         took_ms = self.rng.randint(*ANSWER_MS)
-        self.plan(took_ms, self.answer, chosen, took_ms)
+        self.schedule(took_ms, self.answer, chosen, took_ms)
 
     def answer(self, chosen, took_ms):
         chosen.local_requests -= 1
@@ -100,36 +100,40 @@
         chosen.local_requests -= 1
         chosen.note_failure(self.clock.now_ms())
 
-    def tell(self, sender, notice):
+    def broadcast(self, sender, notice):
         for at, late in enumerate(self.late):
-            if self.told and at != sender and self.rng.random() > 0.025:
+            if self.shares_notices and at != sender and self.rng.random() > 0.025:
                 late.receive_notice(notice)
 
 
 class TestLateUpstreams(unittest.TestCase):
     def test_holds_lost_to_an_upstream_that_answers_none_are_few(self):
-        # 15 holds of a booking failed in six seconds: each of 38 entries learnt by its
-        # own loss that one of three upstreams took requests and answered none.
-        alone = sum(PlayedHolds(seed, told=False).play() for seed in range(10))
-        told = sum(PlayedHolds(seed, told=True).play() for seed in range(10))
+        # 15 holds fail within 6 s: each of 38 entries finds out by a lost request of
+        # its own that one of 3 upstreams accepts requests and answers none.
+        alone = sum(
+            SimulatedEntries(seed, shares_notices=False).play() for seed in range(10)
+        )
+        shared = sum(
+            SimulatedEntries(seed, shares_notices=True).play() for seed in range(10)
+        )
         self.assertGreater(alone, 100)
-        self.assertLess(told, alone / 2)
+        self.assertLess(shared, alone / 2)
 
-    def test_another_life_of_the_upstream_is_not_blamed(self):
-        played = PlayedHolds(1, told=True)
-        played.late[0].receive_notice(LateNotice("i0", 77))
-        first = played.fleets[0].upstreams["i0"]
-        self.assertEqual(first.failures(played.clock.now_ms()), 0.0)
+    def test_another_incarnation_of_the_upstream_is_not_blamed(self):
+        simulation = SimulatedEntries(1, shares_notices=True)
+        simulation.late[0].receive_notice(LateNotice("i0", 77))
+        first = simulation.fleets[0].upstreams["i0"]
+        self.assertEqual(first.failures(simulation.clock.now_ms()), 0.0)
 
-    def test_others_are_told_once_in_a_while(self):
+    def test_notices_are_rate_limited(self):
         sent = []
-        played = PlayedHolds(1, told=True)
-        known = played.fleets[0].upstreams
-        late = LateUpstreams(played.clock, known, sent.append)
-        late.note(known["i0"])
-        late.note(known["i0"])
-        played.clock.advance(TELL_PAUSE_MS)
-        late.note(known["i0"])
+        simulation = SimulatedEntries(1, shares_notices=True)
+        known = simulation.fleets[0].upstreams
+        late = LateUpstreams(simulation.clock, known, sent.append)
+        late.note_late_answer(known["i0"])
+        late.note_late_answer(known["i0"])
+        simulation.clock.advance(NOTICE_INTERVAL_MS)
+        late.note_late_answer(known["i0"])
         self.assertEqual(sent, [LateNotice("i0", 0)] * 2)
 
 
@@ -140,11 +144,11 @@
             async with Site(one) as site:
                 await site.ask(path)
 
-        with mock.patch.object(LateUpstreams, "note") as noted:
+        with mock.patch.object(LateUpstreams, "note_late_answer") as noted:
             run(play())
         return noted.call_count
 
-    def test_an_answer_behind_the_objective_is_noted_while_it_is_owed(self):
+    def test_an_answer_past_the_objective_is_noted_while_it_is_overdue(self):
         self.assertEqual(self.count_late("/hold/", 0.5), 1)
         self.assertEqual(self.count_late("/hold/", 0.0), 0)
 
