--- a/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
@@ -1,4 +1,8 @@
-"""Requests under which upstreams have crashed, and those that are held back for it."""
+"""Requests that crash upstreams, and those that are held back because of it.
+
+A request during which an upstream crashed is a suspect. After some crashes it is a held
+request: it is refused for a time. Requests are recognized by their fingerprint.
+"""
 
 import dataclasses
 import itertools
@@ -10,31 +14,31 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_core.clock import Clock
 
-#: Crashes behind which a request is held back.
-MOST_CRASHES = 3
-#: Time for which it is: a new version of the model may run it.
+#: Crashes after which a request is held back.
+MAX_CRASHES = 3
+#: Time for which it is held back; a new version of the model may run it.
 HOLD_MS = 600_000
-#: Time for which crashes count against a request, from the last one on.
-SUSPECT_MS = 3_600_000
-#: Time for which a request that got a whole answer can't be a suspect.
-WHOLE_MS = 60_000
-#: Suspects and whole requests that are remembered, some 620 and 140 bytes each. Those
-#: that were noted first are forgotten first.
-MOST_SUSPECTS = 4_096
-MOST_WHOLE = 4_096
+#: Time after the latest crash for which crashes count against a request.
+SUSPECT_TTL_MS = 3_600_000
+#: Time after a complete answer for which its request can't become a suspect.
+COMPLETE_ANSWER_TTL_MS = 60_000
+#: Suspects and requests with a complete answer that are remembered, some 620 and 140
+#: bytes each. The oldest are dropped first.
+MAX_SUSPECTS = 4_096
+MAX_COMPLETE_ANSWERS = 4_096
 
 
 @dataclasses.dataclass(slots=True)
 class _Suspect:
-    """The lives of upstreams that crashed under a request; until when it is held.
+    """Incarnations of upstreams that crashed during a request, and the end of its hold.
 
-    `told` says whether this entry has told others of it.
+    `notified` says whether this entry has sent other entries a notice of it.
     """
 
-    lives: dict[str, None]
+    incarnations: dict[str, None]
     crashed_ms: int
     held_until_ms: int = 0
-    told: bool = False
+    notified: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,172 +48,190 @@
     Attributes
     ----------
     fingerprint : str
-    lives : tuple of str
-        Upstreams that crashed under it.
+    incarnations : tuple of str
+        Incarnations of upstreams that crashed during it.
     left_ms : int
+        Remaining time.
     """
 
     fingerprint: str
-    lives: tuple[str, ...]
+    incarnations: tuple[str, ...]
     left_ms: int
 
 
 class CrashingRequests:
-    """What one entry knows of requests that crash upstreams, by their fingerprints.
+    """One entry's counts of crashes by the fingerprints of requests.
 
-    All entries count together: each tells the others of the crashes that it saw, and
-    the lives of upstreams are counted once, whoever saw them end. Others that ran
-    beside a crashing request are suspects too, until one of them gets a whole answer
-    anywhere.
+    All entries share their counts: each notifies the others of the crashes that it
+    detects, and an incarnation of an upstream counts once, whichever entries detect its
+    end. Requests that ran beside a crashing one become suspects too, each until it gets
+    a complete answer at any entry.
 
     Parameters
     ----------
     clock : Clock
-    tell_others : callable
+    broadcast : callable
         Sends a message to all other entries.
 
     Attributes
     ----------
-    changed : callable
-        Is called when a request is held back, or cleared while it was.
+    on_changed : callable
+        Called when a request is held back, or cleared while it was held back.
     """
 
-    __slots__ = ("_clock", "_stored", "_suspects", "_tell_others", "_whole", "changed")
+    __slots__ = (
+        "_broadcast",
+        "_clock",
+        "_completed_ms",
+        "_stored_ms",
+        "_suspects",
+        "on_changed",
+    )
 
     def __init__(
         self,
         clock: "Clock",
-        tell_others: t.Callable[[CrashNotice | Clearance], None],
+        broadcast: t.Callable[[CrashNotice | Clearance], None],
     ) -> None:
         self._clock = clock
-        self._tell_others = tell_others
+        self._broadcast = broadcast
         self._suspects: dict[str, _Suspect] = {}
-        self._whole: dict[str, int] = {}
-        #: When each request that the store says is held was first seen there.
-        self._stored: dict[str, int] = {}
-        self.changed: t.Callable[[], None] = lambda: None
-
-    def note_crash(self, fingerprint: str, life: str) -> None:
-        """Note that an upstream's process ended while it had a request."""
-        if self.is_whole(fingerprint):
+        self._completed_ms: dict[str, int] = {}
+        #: When each request that is held according to the store was first seen there.
+        self._stored_ms: dict[str, int] = {}
+        self.on_changed: t.Callable[[], None] = lambda: None
+
+    def note_crash(self, fingerprint: str, incarnation: str) -> None:
+        """Note that an upstream's process ended while it handled a request."""
+        if self.has_complete_answer(fingerprint):
             return
-        suspect = self._count(fingerprint, (life,), "own answer")
+        suspect = self._count(fingerprint, (incarnation,), "own answer")
         if suspect is not None:
-            suspect.told = True
-            self._tell_others(CrashNotice(fingerprint, tuple(suspect.lives)))
+            suspect.notified = True
+            self._broadcast(CrashNotice(fingerprint, tuple(suspect.incarnations)))
 
     def receive_notice(self, notice: CrashNotice) -> Clearance | None:
-        """Take in what another entry knows of a request.
+        """Apply another entry's notice of crashes.
 
         Returns
         -------
         answer : Clearance or None
-            For that entry, where the request had a whole answer here.
+            Reply to that entry, where the request had a complete answer here.
         """
-        if self.is_whole(notice.fingerprint):
+        if self.has_complete_answer(notice.fingerprint):
             return Clearance(notice.fingerprint)
         self._count(notice.fingerprint, notice.lives, "another entry")
         return None
 
     def note_complete_answer(self, fingerprint: str) -> None:
-        """Note that a request got a whole answer: it crashes nobody."""
-        self._whole.pop(fingerprint, None)
-        self._whole[fingerprint] = self._clock.now_ms()
-        _drop_first(self._whole, MOST_WHOLE)
-        if fingerprint in self._suspects or fingerprint in self._stored:
+        """Note that a request got a complete answer, so it crashes no upstream."""
+        self._completed_ms.pop(fingerprint, None)
+        self._completed_ms[fingerprint] = self._clock.now_ms()
+        _drop_oldest(self._completed_ms, MAX_COMPLETE_ANSWERS)
+        if fingerprint in self._suspects or fingerprint in self._stored_ms:
             self._clear(fingerprint, "own answer")
-            self._tell_others(Clearance(fingerprint))
+            self._broadcast(Clearance(fingerprint))
 
     def receive_clearance(self, clearance: Clearance) -> None:
-        """Take in that another entry had a whole answer to a request.
+        """Apply another entry's clearance of a request with a complete answer.
 
-        Whoever made it a suspect hears of that alone, and passes it on once.
+        An entry that had sent a notice of the request forwards the clearance once: it
+        may be the only one that received it.
         """
         suspect = self._suspects.get(clearance.fingerprint)
         self._clear(clearance.fingerprint, "another entry")
-        if suspect is not None and suspect.told:
-            self._tell_others(clearance)
+        if suspect is not None and suspect.notified:
+            self._broadcast(clearance)
 
-    def take_stored(self, held: set[str], cleared: set[str]) -> None:
-        """Take in which requests the store says are held back, and which are not."""
+    def apply_stored(self, held: set[str], cleared: set[str]) -> None:
+        """Apply which requests are held back or cleared according to the store."""
         now_ms = self._clock.now_ms()
         for fingerprint in cleared:
             self._clear(fingerprint, "store")
-        for fingerprint in held - self._stored.keys():
+        for fingerprint in held - self._stored_ms.keys():
             log_event(
                 Event.REQUEST_HELD,
                 fingerprint=fingerprint,
                 source="store",
                 crashes=self.crashes(fingerprint),
             )
-        self._stored = {one: self._stored.get(one, now_ms) for one in held}
+        self._stored_ms = {one: self._stored_ms.get(one, now_ms) for one in held}
 
     def crashes(self, fingerprint: str) -> int:
-        """Return how many upstreams are known to have crashed under a request."""
+        """Return how many upstreams are known to have crashed during a request."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
-            return MOST_CRASHES if fingerprint in self._stored else 0
-        return len(suspect.lives)
+            return MAX_CRASHES if fingerprint in self._stored_ms else 0
+        return len(suspect.incarnations)
 
     def held_ms(self, fingerprint: str) -> int:
-        """Return for how long a request is held back, or 0."""
+        """Return the remaining time for which a request is held back, or 0."""
         now_ms = self._clock.now_ms()
         suspect = self._suspects.get(fingerprint)
-        own_ms = 0 if suspect is None else suspect.held_until_ms - now_ms
-        stored_ms = self._stored.get(fingerprint)
+        local_ms = 0 if suspect is None else suspect.held_until_ms - now_ms
+        stored_ms = self._stored_ms.get(fingerprint)
         if stored_ms is None:
-            return max(own_ms, 0)
-        return max(own_ms, stored_ms + HOLD_MS - now_ms, 1)
+            return max(local_ms, 0)
+        return max(local_ms, stored_ms + HOLD_MS - now_ms, 1)
 
-    def own_holds(self) -> list[Hold]:
-        """Return what this entry holds back by its own count."""
+    def local_holds(self) -> list[Hold]:
+        """Return the requests that this entry holds back by its own counts."""
         now_ms = self._clock.now_ms()
         return [
-            Hold(fingerprint, tuple(one.lives), one.held_until_ms - now_ms)
+            Hold(fingerprint, tuple(one.incarnations), one.held_until_ms - now_ms)
             for fingerprint, one in self._suspects.items()
             if one.held_until_ms > now_ms
         ]
 
-    def is_whole(self, fingerprint: str) -> bool:
-        """Return whether this entry had a whole answer to a request of late."""
-        whole_ms = self._whole.get(fingerprint)
-        return whole_ms is not None and self._clock.now_ms() - whole_ms < WHOLE_MS
+    def has_complete_answer(self, fingerprint: str) -> bool:
+        """Return whether a request recently got a complete answer at this entry."""
+        completed_ms = self._completed_ms.get(fingerprint)
+        return (
+            completed_ms is not None
+            and self._clock.now_ms() - completed_ms < COMPLETE_ANSWER_TTL_MS
+        )
 
     @property
     def held(self) -> int:
-        """Requests that are held back."""
-        return len(self._stored.keys() | {one.fingerprint for one in self.own_holds()})
+        """Number of requests that are held back."""
+        return len(
+            self._stored_ms.keys() | {one.fingerprint for one in self.local_holds()}
+        )
 
     @property
     def suspects(self) -> int:
-        """Requests that are remembered for a crash."""
+        """Number of suspects."""
         return len(self._suspects)
 
     def _count(
-        self, fingerprint: str, lives: t.Iterable[str], source: str
+        self, fingerprint: str, incarnations: t.Iterable[str], source: str
     ) -> _Suspect | None:
-        """Count lives against a request; return it if one of them is new."""
+        """Count crashes against a request; return its record if one of them is new."""
         now_ms = self._clock.now_ms()
-        self._forget_old(now_ms)
+        self._drop_expired(now_ms)
         suspect = self._suspects.get(fingerprint) or _Suspect({}, now_ms)
-        fresh = [life for life in lives if life not in suspect.lives]
-        if not fresh:
+        added = [
+            incarnation
+            for incarnation in incarnations
+            if incarnation not in suspect.incarnations
+        ]
+        if not added:
             return None
-        suspect.lives.update(dict.fromkeys(fresh))
-        _drop_first(suspect.lives, MOST_CRASHES_TOLD)
+        suspect.incarnations.update(dict.fromkeys(added))
+        _drop_oldest(suspect.incarnations, MOST_CRASHES_TOLD)
         suspect.crashed_ms = now_ms
-        # Those that crashed last are at the end, and are forgotten last.
+        # The most recent suspects are at the end, and are dropped last.
         self._suspects.pop(fingerprint, None)
         self._suspects[fingerprint] = suspect
-        _drop_first(self._suspects, MOST_SUSPECTS)
+        _drop_oldest(self._suspects, MAX_SUSPECTS)
         log_event(
             Event.CRASH_COUNTED,
             fingerprint=fingerprint,
-            upstreams=fresh,
-            crashes=len(suspect.lives),
+            upstreams=added,
+            crashes=len(suspect.incarnations),
             source=source,
         )
-        if len(suspect.lives) >= MOST_CRASHES:
+        if len(suspect.incarnations) >= MAX_CRASHES:
             self._hold(fingerprint, suspect, source)
         return suspect
 
@@ -221,14 +243,14 @@
                 Event.REQUEST_HELD,
                 fingerprint=fingerprint,
                 source=source,
-                crashes=len(suspect.lives),
+                crashes=len(suspect.incarnations),
             )
-        self.changed()
+        self.on_changed()
 
     def _clear(self, fingerprint: str, source: str) -> None:
         was_held = self.held_ms(fingerprint) > 0
         suspect = self._suspects.pop(fingerprint, None)
-        self._stored.pop(fingerprint, None)
+        self._stored_ms.pop(fingerprint, None)
         if suspect is None and not was_held:
             return
         log_event(
@@ -238,16 +260,17 @@
             was_held=was_held,
         )
         if was_held:
-            self.changed()
+            self.on_changed()
 
-    def _forget_old(self, now_ms: int) -> None:
-        old = itertools.takewhile(
-            lambda one: now_ms - one[1].crashed_ms > SUSPECT_MS, self._suspects.items()
+    def _drop_expired(self, now_ms: int) -> None:
+        expired = itertools.takewhile(
+            lambda one: now_ms - one[1].crashed_ms > SUSPECT_TTL_MS,
+            self._suspects.items(),
         )
-        for fingerprint, _ in list(old):
+        for fingerprint, _ in list(expired):
             del self._suspects[fingerprint]
 
 
-def _drop_first(entries: dict[str, t.Any], most: int) -> None:
-    while len(entries) > most:
+def _drop_oldest(entries: dict[str, t.Any], limit: int) -> None:
+    while len(entries) > limit:
         del entries[next(iter(entries))]
--- a/packages/gateway/src/fuchsiahatch_gateway/held_requests.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/held_requests.py
@@ -1,4 +1,4 @@
-"""Held requests in the store: for entries that start, and those that heard nothing."""
+"""Held requests in the store, for entries that start or miss notices."""
 
 import asyncio
 import contextlib
@@ -18,26 +18,26 @@
     from fuchsiahatch_adapter.store import Item, StoreClient
     from fuchsiahatch_gateway.crashing_requests import CrashingRequests, Hold
 
-#: Entries that write what the store lacks, the first of all by their names.
-WRITERS = 3
-#: Pause between one writer and the next, in which the first has written.
-STAGGER_MS = 250
-#: How often it is looked whether the store has lost something.
-LOOK_MS = 2_000
-#: Time left below which a hold isn't written any more.
-LEAST_LEASE_MS = 2_000
+#: Entries that write what the store lacks: the first ones by name.
+MAX_WRITERS = 3
+#: Delay from one writer to the next, in which the first one has usually written.
+WRITER_DELAY_MS = 250
+#: Interval of the checks whether the store has lost something.
+CHECK_INTERVAL_MS = 2_000
+#: Remaining time below which a hold is no longer written.
+MIN_LEASE_MS = 2_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldRecord:
-    """What the store says of one request.
+    """The store's record of one request.
 
     Attributes
     ----------
     held : bool
-        False once it got a whole answer.
+        False once the request got a complete answer.
     upstreams : tuple of str
-        Lives that ended under it.
+        Incarnations of upstreams that crashed during it.
     """
 
     held: bool
@@ -55,106 +55,117 @@
 
 
 class HeldRequests:
-    """Keeps the store and an entry's own count of crashes in step.
+    """Synchronizes the store and an entry's own counts of crashes.
 
-    What the store lacks is written as long as it lacks it, so that an outage, or an
-    older copy of the store, loses nothing. Each item has a lease for as long as its
-    request is held, so that nobody has to remove it.
+    Missing records are written until the store has them, so that an outage of the
+    store, or its restore from an older copy, loses nothing. Each item has a lease for
+    as long as its request is held, so that no entry has to remove it.
 
     Parameters
     ----------
     store : StoreClient
     requests : CrashingRequests
-    place : callable
-        Returns this entry's place among all that live, by name; 0 is the first, None
-        while it isn't one of them.
+    entry_index : callable
+        Returns the index of this entry among all live ones, sorted by name; 0 is the
+        first, None while it isn't among them.
     """
 
-    __slots__ = ("_due", "_items", "_place", "_read", "_records", "_requests", "_store")
+    __slots__ = (
+        "_changed",
+        "_decoder",
+        "_entry_index",
+        "_items",
+        "_records",
+        "_requests",
+        "_store",
+    )
 
     def __init__(
         self,
         store: "StoreClient",
         requests: "CrashingRequests",
-        place: t.Callable[[], int | None],
+        entry_index: t.Callable[[], int | None],
     ) -> None:
         self._store = store
         self._requests = requests
-        self._place = place
-        self._due = asyncio.Event()
+        self._entry_index = entry_index
+        self._changed = asyncio.Event()
         self._items: t.Mapping[str, Item] = {}
         self._records: dict[str, HeldRecord] = {}
-        self._read = ItemDecoder(decode_held_record)
-        requests.changed = self._due.set
+        self._decoder = ItemDecoder(decode_held_record)
+        requests.on_changed = self._changed.set
 
     def apply(self, items: t.Mapping[str, "Item"]) -> None:
-        """Take over what the store says now."""
-        fresh = self._read.decode_all(items)
-        held = {name for name, one in fresh.items() if one.held}
-        # Once for each change: crashes behind it count against the request again.
+        """Apply the current records of the store."""
+        current = self._decoder.decode_all(items)
+        held = {name for name, one in current.items() if one.held}
+        # Applied once per change: later crashes count against the request again.
         cleared = {
             name
-            for name, one in fresh.items()
+            for name, one in current.items()
             if not one.held and self._records.get(name) != one
         }
-        self._items, self._records = dict(items), fresh
-        self._requests.take_stored(held, cleared)
-        self._due.set()
+        self._items, self._records = dict(items), current
+        self._requests.apply_stored(held, cleared)
+        self._changed.set()
 
     async def run(self) -> None:
-        """Write what the store lacks, for ever."""
+        """Write what the store lacks, until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_MS / 1000):
-                    await self._due.wait()
-            self._due.clear()
+                async with asyncio.timeout(CHECK_INTERVAL_MS / 1000):
+                    await self._changed.wait()
+            self._changed.clear()
             try:
                 await self._write_cleared()
                 await self._write_held()
             except (ConflictError, PlatformError) as fault:
                 log_event(Event.SERVICE_CALL_FAILED, detail=str(fault))
-                await asyncio.sleep(LOOK_MS / 1000)
-                self._due.set()
+                await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
+                self._changed.set()
 
     async def _write_held(self) -> None:
-        if not self._lacking():
+        if not self._missing():
             return
-        place = self._place()
-        if place is None or place >= WRITERS:
+        entry_index = self._entry_index()
+        if entry_index is None or entry_index >= MAX_WRITERS:
             return
-        await asyncio.sleep(place * STAGGER_MS / 1000)
-        for hold in self._lacking():
+        await asyncio.sleep(entry_index * WRITER_DELAY_MS / 1000)
+        for hold in self._missing():
             lease = await self._store.grant(hold.left_ms)
-            await self._put(hold.fingerprint, HeldRecord(True, hold.lives), lease)
+            await self._write(
+                hold.fingerprint, HeldRecord(True, hold.incarnations), lease
+            )
 
-    def _lacking(self) -> list["Hold"]:
+    def _missing(self) -> list["Hold"]:
         return [
             hold
-            for hold in self._requests.own_holds()
-            if hold.left_ms > LEAST_LEASE_MS and not self._says_held(hold.fingerprint)
+            for hold in self._requests.local_holds()
+            if hold.left_ms > MIN_LEASE_MS
+            and not self._is_stored_held(hold.fingerprint)
         ]
 
-    def _says_held(self, fingerprint: str) -> bool:
+    def _is_stored_held(self, fingerprint: str) -> bool:
         known = self._records.get(fingerprint)
         return known is not None and known.held
 
     async def _write_cleared(self) -> None:
-        """Say in the store that requests are held no more that had a whole answer."""
-        wrong = [
+        """Store that requests with a complete answer are no longer held."""
+        outdated = [
             name
             for name, one in self._records.items()
-            if one.held and self._requests.is_whole(name)
+            if one.held and self._requests.has_complete_answer(name)
         ]
-        for name in wrong:
+        for name in outdated:
             lease = await self._store.grant(HOLD_MS)
-            await self._put(name, HeldRecord(False), lease)
+            await self._write(name, HeldRecord(False), lease)
 
-    async def _put(self, fingerprint: str, record: HeldRecord, lease: int) -> None:
+    async def _write(self, fingerprint: str, record: HeldRecord, lease: int) -> None:
         known = self._items.get(fingerprint)
         revision = 0 if known is None else known.revision
         key = HELD_PREFIX + fingerprint
         value = orjson.dumps(record)
         await self._store.put(key, value, lease, expected=revision)
-        # Until the watch tells of it; its revision is taken over from there.
+        # Until the watch reports the write; the revision comes from there too.
         self._records[fingerprint] = record
         log_event(Event.HOLD_WRITTEN, fingerprint=fingerprint, held=record.held)
--- a/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
@@ -95,7 +95,7 @@
         return self.open and not self.misplaced and not self.entry.leaving
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Identifier of this incarnation of the upstream."""
         return f"{self.entry.instance}@{self.born_ms}"
 
--- a/packages/gateway/src/fuchsiahatch_gateway/upstream_crashes.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/upstream_crashes.py
@@ -1,4 +1,4 @@
-"""Finds out whether an upstream's process ended under the requests that broke there."""
+"""Detects whether an upstream's process crashed when answers from it broke off."""
 
 import asyncio
 import collections
@@ -12,50 +12,50 @@
     from fuchsiahatch_gateway.crashing_requests import CrashingRequests
     from fuchsiahatch_gateway.known_upstream import Upstream
 
-#: Time for which an upstream is asked whether it still listens. A process that has
-#: ended refuses within some ms; a dark host says nothing.
-ASK_MS = 60
-#: Time between a broken answer and the sight of its upstream's next life in which the
-#: former one is taken to have ended there.
-LINK_MS = 5_000
-#: Broken answers that wait for that, at most.
-MOST_BREAKS = 1_024
+#: Time for which an upstream is probed whether it still listens. After its process has
+#: ended the host refuses within some ms; an unreachable host doesn't respond.
+PROBE_TIMEOUT_MS = 60
+#: Longest time between a broken answer and the detection that its upstream ended or
+#: restarted for the answer to count as broken by a crash.
+CORRELATION_MS = 5_000
+#: Broken answers that are kept for that.
+MAX_BROKEN_ANSWERS = 1_024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Break:
-    """An answer that broke, at which life of an upstream, and when."""
+class _BrokenAnswer:
+    """An answer that broke off, the incarnation of its upstream, and when."""
 
     fingerprint: str
-    life: str
-    at_ms: int
+    incarnation: str
+    broken_ms: int
 
 
 class UpstreamCrashes:
-    """Tells an upstream's crash from all else that breaks answers.
+    """Distinguishes crashes of upstreams from other causes of broken answers.
 
-    A reset, a cut link or an upstream that breaks off one answer ends nobody. A process
-    has ended where nobody listens at its address any more, or where its instance lives
-    anew. One that leaves, or is listed no more, ends as planned, and counts against no
-    request.
+    A reset, a cut link or an upstream that breaks off one answer is no crash. A process
+    has ended where its address refuses connections, or where its instance has a new
+    incarnation. One that is leaving, or is no longer listed, ends as planned, and
+    counts against no request.
 
     Parameters
     ----------
     requests : CrashingRequests
     is_refused : coroutine function
-        Returns whether nobody listens at an IP number and port.
+        Returns whether an IP address and port refuse connections.
     is_listed : callable
         Returns whether an instance is among the known upstreams.
     clock : Clock
     """
 
     __slots__ = (
-        "_asked",
-        "_breaks",
+        "_broken_answers",
         "_clock",
+        "_ended",
         "_is_listed",
         "_is_refused",
-        "_over",
+        "_probes",
         "_requests",
     )
 
@@ -70,75 +70,85 @@
         self._is_refused = is_refused
         self._is_listed = is_listed
         self._clock = clock
-        self._breaks: collections.deque[_Break] = collections.deque(maxlen=MOST_BREAKS)
-        self._asked: dict[str, asyncio.Task[None]] = {}
-        #: Lives that are known to have ended, and when that was found.
-        self._over: dict[str, int] = {}
+        self._broken_answers: collections.deque[_BrokenAnswer] = collections.deque(
+            maxlen=MAX_BROKEN_ANSWERS
+        )
+        self._probes: dict[str, asyncio.Task[None]] = {}
+        #: Incarnations that are known to have ended, and when that was detected.
+        self._ended: dict[str, int] = {}
 
     async def examine(self, fingerprint: str, upstream: "Upstream") -> bool:
-        """Return whether an upstream's process ended under a request that broke there.
+        """Return whether an upstream's process ended while it handled a request.
 
         Parameters
         ----------
         fingerprint : str
         upstream : Upstream
-            Its connection was closed before the answer was whole.
+            Its connection was closed before the answer was complete.
         """
         entry = upstream.entry
         if entry.leaving or not self._is_listed(entry.instance):
             return False
-        life = upstream.life
-        self._breaks.append(_Break(fingerprint, life, self._clock.now_ms()))
-        if life not in self._over:
-            await self._ask(life, upstream)
-        if life not in self._over:
+        incarnation = upstream.incarnation
+        self._broken_answers.append(
+            _BrokenAnswer(fingerprint, incarnation, self._clock.now_ms())
+        )
+        if incarnation not in self._ended:
+            await self._probe_once(incarnation, upstream)
+        if incarnation not in self._ended:
             return False
-        self.note_over(life)
+        self.note_ended(incarnation)
         return True
 
     def note_unanswered(self, fingerprint: str, upstream: "Upstream") -> None:
-        """Note an answer that was given up: its upstream may have ended unheard."""
+        """Note an answer that was given up: its upstream may have crashed unnoticed."""
         now_ms = self._clock.now_ms()
-        self._breaks.append(_Break(fingerprint, upstream.life, now_ms))
+        self._broken_answers.append(
+            _BrokenAnswer(fingerprint, upstream.incarnation, now_ms)
+        )
 
     def note_restart(self, former: "Upstream") -> None:
-        """Note that an upstream has begun another life."""
-        life = former.life
-        broke = any(one.life == life for one in self._breaks)
+        """Note that an upstream has restarted."""
+        incarnation = former.incarnation
+        broke = any(
+            answer.incarnation == incarnation for answer in self._broken_answers
+        )
         if broke and not former.entry.leaving:
-            self.note_over(life)
+            self.note_ended(incarnation)
 
-    def note_over(self, life: str) -> None:
-        """Note that a life of an upstream has ended, and count it where it broke."""
+    def note_ended(self, incarnation: str) -> None:
+        """Note the end of an incarnation; count it against the requests that broke."""
         now_ms = self._clock.now_ms()
-        if life not in self._over:
-            log_event(Event.UPSTREAM_CRASHED, upstream=life)
-        self._over = {
-            one: at_ms for one, at_ms in self._over.items() if now_ms - at_ms < LINK_MS
+        if incarnation not in self._ended:
+            log_event(Event.UPSTREAM_CRASHED, upstream=incarnation)
+        self._ended = {
+            one: ended_ms
+            for one, ended_ms in self._ended.items()
+            if now_ms - ended_ms < CORRELATION_MS
         }
-        self._over[life] = now_ms
-        due = [one for one in self._breaks if one.life == life]
+        self._ended[incarnation] = now_ms
+        due = [one for one in self._broken_answers if one.incarnation == incarnation]
         for one in due:
-            self._breaks.remove(one)
-            if now_ms - one.at_ms < LINK_MS:
-                self._requests.note_crash(one.fingerprint, life)
-
-    async def _ask(self, life: str, upstream: "Upstream") -> None:
-        """Ask whether anybody listens there; those that break together ask once."""
-        asking = self._asked.get(life)
-        if asking is None:
-            asking = asyncio.ensure_future(self._look(life, upstream))
-            self._asked[life] = asking
-            asking.add_done_callback(lambda _: self._asked.pop(life, None))
-        # A caller that leaves meanwhile must not take the answer from the others.
-        await asyncio.shield(asking)
-
-    async def _look(self, life: str, upstream: "Upstream") -> None:
+            self._broken_answers.remove(one)
+            if now_ms - one.broken_ms < CORRELATION_MS:
+                self._requests.note_crash(one.fingerprint, incarnation)
+
+    async def _probe_once(self, incarnation: str, upstream: "Upstream") -> None:
+        """Check whether an upstream still listens, once for all concurrent checks."""
+        probe = self._probes.get(incarnation)
+        if probe is None:
+            probe = asyncio.ensure_future(self._probe(incarnation, upstream))
+            self._probes[incarnation] = probe
+            probe.add_done_callback(lambda _: self._probes.pop(incarnation, None))
+        # A caller that disconnects meanwhile must not cancel the probe for the others.
+        await asyncio.shield(probe)
+
+    async def _probe(self, incarnation: str, upstream: "Upstream") -> None:
         address = upstream.entry.address
         try:
-            async with asyncio.timeout(ASK_MS / 1000):
+            async with asyncio.timeout(PROBE_TIMEOUT_MS / 1000):
                 refused = await self._is_refused(address.ip, address.port)
         except TimeoutError:
             return
         if refused:
-            self.note_over(life)
+            self.note_ended(incarnation)
--- a/tests/gateway/crash_model.py
+++ b/tests/gateway/crash_model.py
@@ -1,4 +1,4 @@
-"""The real count of crashes, at many entries before played upstreams."""
+"""The crash counts of many entries, in a simulation with crashing upstreams."""
 
 import asyncio
 import collections
@@ -12,29 +12,29 @@
 from fuchsiahatch_gateway.upstream_crashes import UpstreamCrashes
 from fuchsiahatch_standins.virtual_time import run_virtually
 
-#: Time on each side of a datagram.
-WAY_MS = 2
+#: One-way delay of a datagram.
+ONE_WAY_MS = 2
 MAX_SENDS = 2
-#: Time after the third crash behind which sends are counted, and how many are borne.
+#: Time after the third crash from which sends are counted, and how many are allowed.
 STABLE_MS = 3_000
-MOST_SENDS_BEHIND = 3
-BACK_MS = 3_000
-#: From a run's begin to its crash, its first event and its end.
-DEADLY_MS, FIRST_MS, WHOLE_MS = 40, 150, 600
+MAX_SENDS_AFTER = 3
+RESTART_MS = 3_000
+#: Time from the start of a run to its crash, its first event and its end.
+DEADLY_MS, FIRST_EVENT_MS, COMPLETE_MS = 40, 150, 600
 
 
 @dataclasses.dataclass(eq=False)
-class Life:
-    """One life of a played upstream, as `UpstreamCrashes` sees an upstream."""
+class SimulatedUpstream:
+    """One incarnation of a simulated upstream, as `UpstreamCrashes` uses it."""
 
     name: str
-    born: int
+    number: int
     group: str
     alive: bool = True
 
     def __post_init__(self):
-        self.life = f"{self.name}@{self.born}"
-        address = types.SimpleNamespace(ip=self.life, port=1)
+        self.incarnation = f"{self.name}@{self.number}"
+        address = types.SimpleNamespace(ip=self.incarnation, port=1)
         self.entry = types.SimpleNamespace(
             instance=self.name, leaving=False, address=address
         )
@@ -42,44 +42,44 @@
 
 
 class Entry:
-    """One entry: the real count, evidence and next step."""
+    """One entry with the product's crash count, crash detection and retry decision."""
 
-    def __init__(self, number, play):
-        self.number, self.play = number, play
-        clock = play.loop.make_clock()
-        self.requests = CrashingRequests(clock, self.tell_others)
+    def __init__(self, number, simulation):
+        self.number, self.simulation = number, simulation
+        clock = simulation.loop.make_clock()
+        self.requests = CrashingRequests(clock, self.broadcast)
         self.crashes = UpstreamCrashes(
-            self.requests, play.is_refused, lambda instance: True, clock
+            self.requests, simulation.is_refused, lambda instance: True, clock
         )
 
-    def tell_others(self, message):
-        for other in self.play.entries:
+    def broadcast(self, message):
+        for other in self.simulation.entries:
             if other is not self:
-                self.play.send(message, self, other)
+                self.simulation.send(message, self, other)
 
-    def take(self, message, sender):
+    def receive(self, message, sender):
         if not isinstance(message, CrashNotice):
             self.requests.receive_clearance(message)
             return
         answer = self.requests.receive_notice(message)
         if answer is not None:
-            self.play.send(answer, self, sender)
+            self.simulation.send(answer, self, sender)
 
     async def answer(self, fingerprint):
-        """Return how a request ended: whole, failed or refused."""
+        """Return how a request ended: whole, failed, refused or unsent."""
         tried = set()
         for sends in range(1, MAX_SENDS + 1):
             if self.requests.held_ms(fingerprint):
                 return "refused" if not tried else "failed"
-            life = self.play.choose(tried)
-            if life is None:
+            upstream = self.simulation.choose(tried)
+            if upstream is None:
                 return "unsent"
-            tried.add(life.group)
-            whole, events = await self.play.run(fingerprint, life)
-            if whole:
+            tried.add(upstream.group)
+            complete, events = await self.simulation.run(fingerprint, upstream)
+            if complete:
                 self.requests.note_complete_answer(fingerprint)
                 return "whole"
-            crashed = await self.crashes.examine(fingerprint, life)
+            crashed = await self.crashes.examine(fingerprint, upstream)
             progress = Progress(
                 repeatable=True,
                 sends=sends,
@@ -96,21 +96,22 @@
         return "failed"
 
 
-class Play:
-    """Some entries before some upstreams, for a time.
+class Simulation:
+    """A number of entries and upstreams in virtual time.
 
     Parameters
     ----------
     entries, upstreams, groups : int
     crashers : int
-        Different requests that crash whoever runs them; each comes each four seconds.
+        Different requests that crash any upstream; each is sent every 4 s.
     at_once : int, optional
-        Entries at which one comes at the same moment.
+        Entries that receive such a request at the same time.
     lost_share : float, optional
+        Share of the datagrams that are lost.
     ordinary_s : float, optional
-        Mean time between two crashes without a cause; 0 for none.
+        Mean time between two crashes that no request causes; 0 for none.
     events : dict of float to callable, optional
-        Each is called with the play at its time.
+        Each is called with the simulation at its time in seconds.
     """
 
     def __init__(
@@ -143,85 +144,92 @@
         self.loop = loop
         self.clock = loop.make_clock()
         self._ended = []
-        self.lives = [
-            Life(f"u{at}", 1, f"g{at % self.group_count}")
+        self.upstreams = [
+            SimulatedUpstream(f"u{at}", 1, f"g{at % self.group_count}")
             for at in range(self.upstream_count)
         ]
         self.entries = [Entry(at, self) for at in range(self.entry_count)]
-        works = [self._demand(), *(self._crasher(at) for at in range(self.crashers))]
-        works += [self._at(at_s, call) for at_s, call in self.events.items()]
+        tasks = [
+            self._send_demand(),
+            *(self._send_crasher(at) for at in range(self.crashers)),
+        ]
+        tasks += [self._call_at(at_s, call) for at_s, call in self.events.items()]
         if self.ordinary_s:
-            works.append(self._ordinary())
-        await asyncio.gather(*works)
+            tasks.append(self._crash_at_random())
+        await asyncio.gather(*tasks)
         return self
 
-    # What the entries see.
+    # Interface to the entries.
 
     def send(self, message, sender, other):
         data = encode(message)
         self.datagrams += 1
         self.bytes += len(data)
         if self.rng.random() >= self.lost_share:
-            self.loop.call_later(WAY_MS / 1000, other.take, decode(data), sender)
+            self.loop.call_later(ONE_WAY_MS / 1000, other.receive, decode(data), sender)
 
-    async def is_refused(self, life, port):
-        await asyncio.sleep(2 * WAY_MS / 1000)
-        return not next(one for one in self.known if one.life == life).alive
+    async def is_refused(self, incarnation, port):
+        await asyncio.sleep(2 * ONE_WAY_MS / 1000)
+        return not next(
+            one for one in self.all_incarnations if one.incarnation == incarnation
+        ).alive
 
     @property
-    def known(self):
-        return [*self._ended, *self.lives]
+    def all_incarnations(self):
+        return [*self._ended, *self.upstreams]
 
     def choose(self, tried):
-        alive = [one for one in self.lives if one.alive]
-        fresh = [one for one in alive if one.group not in tried]
-        return self.rng.choice(fresh or alive) if alive else None
+        alive = [one for one in self.upstreams if one.alive]
+        untried = [one for one in alive if one.group not in tried]
+        return self.rng.choice(untried or alive) if alive else None
 
-    async def run(self, fingerprint, life):
-        """Run a request; return whether it was whole, and whether an event came."""
+    async def run(self, fingerprint, upstream):
+        """Run a request; return whether it was completed, and whether it had events."""
         self.sent_ms[fingerprint].append(self.clock.now_ms())
         began_ms = self.clock.now_ms()
         ended = asyncio.get_running_loop().create_future()
-        life.runs[ended] = fingerprint
+        upstream.runs[ended] = fingerprint
         deadly = fingerprint.startswith("deadly")
         if deadly:
-            self.loop.call_later(DEADLY_MS / 1000, self.crash, life, fingerprint)
-        await asyncio.wait({ended}, timeout=WHOLE_MS / 1000)
-        life.runs.pop(ended, None)
-        events = self.clock.now_ms() - began_ms >= FIRST_MS
+            self.loop.call_later(DEADLY_MS / 1000, self.crash, upstream, fingerprint)
+        await asyncio.wait({ended}, timeout=COMPLETE_MS / 1000)
+        upstream.runs.pop(ended, None)
+        events = self.clock.now_ms() - began_ms >= FIRST_EVENT_MS
         return not ended.done(), events
 
-    # What happens.
+    # Crashes and load.
 
-    def crash(self, life, fingerprint=None):
-        if not life.alive:
+    def crash(self, upstream, fingerprint=None):
+        if not upstream.alive:
             return
-        life.alive = False
+        upstream.alive = False
         if fingerprint is not None:
             self.crashed_ms[fingerprint].append(self.clock.now_ms())
-        for ended in life.runs:
+        for ended in upstream.runs:
             if not ended.done():
                 ended.set_result(None)
-        self.loop.call_later(BACK_MS / 1000, self._revive, life)
+        self.loop.call_later(RESTART_MS / 1000, self._restart, upstream)
 
-    def _revive(self, life):
-        at = self.lives.index(life)
-        self._ended.append(life)
-        self.lives[at] = Life(life.name, life.born + 1, life.group)
+    def _restart(self, upstream):
+        at = self.upstreams.index(upstream)
+        self._ended.append(upstream)
+        self.upstreams[at] = SimulatedUpstream(
+            upstream.name, upstream.number + 1, upstream.group
+        )
 
-    async def _demand(self):
+    async def _send_demand(self):
         running = set()
         number = 0
         while self.loop.time() < self.for_s:
             number += 1
-            # A fifth asks for one of three things that many ask for.
+            # A fifth of the requests are for one of 3 popular prompts.
             popular = self.rng.random() < 0.2
             name = f"popular-{self.rng.randrange(3)}" if popular else f"own-{number}"
-            running.add(asyncio.ensure_future(self._one(name)))
+            running.add(asyncio.ensure_future(self._send_request(name)))
             await asyncio.sleep(self.rng.expovariate(self.per_s))
         await asyncio.gather(*running)
 
-    async def _one(self, name):
+    async def _send_request(self, name):
         for _ in range(2):
             end = await self.rng.choice(self.entries).answer(name)
             if end in ("whole", "refused"):
@@ -229,26 +237,26 @@
             await asyncio.sleep(0.1)
         self.ends[end] += 1
 
-    async def _crasher(self, number):
+    async def _send_crasher(self, number):
         await asyncio.sleep(self.rng.uniform(1, 4))
         while self.loop.time() < self.for_s:
             entries = self.rng.sample(self.entries, min(self.at_once, self.entry_count))
             await asyncio.gather(*(one.answer(f"deadly-{number}") for one in entries))
             await asyncio.sleep(4)
 
-    async def _ordinary(self):
+    async def _crash_at_random(self):
         while self.loop.time() < self.for_s:
             await asyncio.sleep(self.rng.expovariate(1 / self.ordinary_s))
-            self.crash(self.rng.choice(self.lives))
+            self.crash(self.rng.choice(self.upstreams))
 
-    async def _at(self, at_s, call):
+    async def _call_at(self, at_s, call):
         await asyncio.sleep(at_s)
         call(self)
 
-    # What came of it.
+    # Results.
 
-    def sends_behind(self, number):
-        """Return the sends of a crasher that came long after its third crash."""
+    def sends_after(self, number):
+        """Return the sends of a crasher well after its third crash."""
         name = f"deadly-{number}"
         crashed = sorted(self.crashed_ms[name])
         if len(crashed) < 3:
--- a/tests/gateway/mortal_upstreams.py
+++ b/tests/gateway/mortal_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that end under some requests, and are back a moment later."""
+"""Upstreams that crash when they get a certain request, and restart shortly after."""
 
 import asyncio
 import contextlib
@@ -10,36 +10,36 @@
 
 
 class MortalUpstream(ScriptedUpstream):
-    """One upstream whose process ends under `DEADLY`: its connections are closed.
+    """An upstream that crashes when it gets `DEADLY`: it closes all its connections.
 
     Parameters
     ----------
     site : Site
-        Whose store it registers in.
+        The site in whose store it registers.
     name : str
-        Its instances are named after it, a number for each life.
+        Prefix of its instance names; each incarnation has a number.
     back_s : float, optional
-        Time until it is back, as a new instance at the same address.
+        Time until it restarts, as a new instance at the same address.
     """
 
     def __init__(self, site, name, back_s=0.2, script=None):
         super().__init__(self._work)
         self.site, self.name, self.back_s = site, name, back_s
         self.script = script or answers()
-        self.lives, self.port = 0, 0
+        self.incarnations, self.port = 0, 0
         self._writers = set()
 
     async def start(self):
         self.port = await self.listen(port=self.port)
-        self.lives += 1
+        self.incarnations += 1
         self.site.put_upstream(self.instance, self.port)
 
     @property
     def instance(self):
-        return f"{self.name}-{self.lives}"
+        return f"{self.name}-{self.incarnations}"
 
     async def end(self):
-        """End as a process does, and be back after a while."""
+        """Close everything as a crashed process does, and restart after `back_s`."""
         await self.close()
         for writer in self._writers:
             writer.close()
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -3,11 +3,11 @@
 
 from fuchsiahatch_core.clock import ManualClock
 from fuchsiahatch_gateway.crashing_requests import (
+    COMPLETE_ANSWER_TTL_MS,
     HOLD_MS,
-    MOST_CRASHES,
-    MOST_SUSPECTS,
-    SUSPECT_MS,
-    WHOLE_MS,
+    MAX_CRASHES,
+    MAX_SUSPECTS,
+    SUSPECT_TTL_MS,
     CrashingRequests,
 )
 from fuchsiahatch_gateway.datagrams import (
@@ -17,20 +17,20 @@
     decode,
     encode,
 )
-from tests.gateway.crash_model import Play
+from tests.gateway.crash_model import Simulation
 from tests.gateway.mortal_upstreams import DEADLY, MortalUpstream, deadly_sends
 from tests.gateway.sites import Site, until
 from tests.loopback import run
 
-#: Ends of upstreams behind which a request may be sent on no more, and the sends behind
-#: them that are borne.
-MOST_ENDS, MOST_SENDS_BEHIND = 3, 3
-#: Pause between two arrivals of the request: all upstreams are back meanwhile.
+#: Crashes after which a request may no longer be sent, and the sends after them that
+#: are allowed.
+MAX_CRASHED, MAX_SENDS_AFTER = 3, 3
+#: Interval between two arrivals of the request, in which all upstreams restart.
 PAUSE_S = 0.4
 
 
-async def come_again(site, upstreams, times, path="/safe/"):
-    """Send the deadly request again and again, each time under another id."""
+async def send_repeatedly(site, upstreams, times, path="/safe/"):
+    """Send the deadly request repeatedly, each time with another id."""
     replies = []
     for number in range(times):
         replies.append(await site.ask(path, request_id=f"d-{number}", body=DEADLY))
@@ -39,7 +39,7 @@
 
 
 class TestOneEntry(unittest.TestCase):
-    def test_a_request_that_ended_three_upstreams_is_sent_to_no_further_ones(self):
+    def test_a_request_that_crashed_three_upstreams_is_sent_to_no_further_ones(self):
         async def play():
             async with Site() as site:
                 upstreams = [MortalUpstream(site, name) for name in "abcd"]
@@ -47,176 +47,179 @@
                 for one in upstreams:
                     await one.start()
                 await until(lambda: len(site.entry.fleet.upstreams) == len(upstreams))
-                await come_again(site, upstreams, 8)
+                await send_repeatedly(site, upstreams, 8)
                 other = await site.ask("/safe/", request_id="q", body=b"harmless")
                 return deadly_sends(upstreams), other.status
 
         sends, other = run(play())
-        self.assertLessEqual(sends, MOST_ENDS + MOST_SENDS_BEHIND)
+        self.assertLessEqual(sends, MAX_CRASHED + MAX_SENDS_AFTER)
         self.assertEqual(other, 200)
 
 
 class TestCount(unittest.TestCase):
     def setUp(self):
         self.clock = ManualClock(1_000)
-        self.told = []
-        self.requests = CrashingRequests(self.clock, self.told.append)
+        self.sent = []
+        self.requests = CrashingRequests(self.clock, self.sent.append)
 
-    def crash(self, *lives, fingerprint="f"):
-        for life in lives:
-            self.requests.note_crash(fingerprint, life)
+    def crash(self, *incarnations, fingerprint="f"):
+        for incarnation in incarnations:
+            self.requests.note_crash(fingerprint, incarnation)
 
-    def test_the_third_life_holds_a_request_back(self):
+    def test_the_third_crash_holds_a_request_back(self):
         self.crash("a@1", "b@1")
         self.assertEqual(self.requests.held_ms("f"), 0)
         self.crash("c@1")
         self.assertEqual(self.requests.held_ms("f"), HOLD_MS)
         self.assertEqual(self.requests.held_ms("another"), 0)
 
-    def test_one_life_counts_once_whoever_saw_it_end(self):
+    def test_one_incarnation_counts_once_whichever_entries_detect_its_end(self):
         self.crash("a@1", "a@1", "b@1")
         self.requests.receive_notice(CrashNotice("f", ("a@1", "b@1")))
         self.assertEqual(self.requests.crashes("f"), 2)
 
-    def test_a_later_life_of_the_same_instance_counts(self):
+    def test_a_later_incarnation_of_the_same_instance_counts(self):
         self.crash("a@1", "a@2", "a@3")
         self.assertGreater(self.requests.held_ms("f"), 0)
 
-    def test_a_lost_notice_is_made_up_for_by_the_next(self):
+    def test_a_lost_notice_is_covered_by_the_next(self):
         self.crash("a@1", "b@1", "c@1")
         other = CrashingRequests(self.clock, lambda message: None)
-        other.receive_notice(decode(encode(self.told[-1])))
+        other.receive_notice(decode(encode(self.sent[-1])))
         self.assertEqual(other.held_ms("f"), HOLD_MS)
 
-    def test_a_whole_answer_clears_a_suspect_at_all_entries(self):
+    def test_a_complete_answer_clears_a_suspect_at_all_entries(self):
         self.crash("a@1", "b@1")
         self.requests.note_complete_answer("f")
         self.assertEqual(self.requests.crashes("f"), 0)
         other = CrashingRequests(self.clock, lambda message: None)
         other.receive_notice(CrashNotice("f", ("a@1", "b@1", "c@1")))
-        other.receive_clearance(decode(encode(self.told[-1])))
+        other.receive_clearance(decode(encode(self.sent[-1])))
         self.assertEqual((other.crashes("f"), other.held_ms("f")), (0, 0))
 
-    def test_a_popular_request_stays_served_as_a_rack_loses_power(self):
-        # It ran on all upstreams of the rack, and had whole answers a moment ago.
+    def test_a_popular_request_stays_served_when_a_rack_loses_power(self):
+        # It ran on all upstreams of the rack, and had complete answers a moment ago.
         self.requests.note_complete_answer("f")
-        self.clock.advance(WHOLE_MS - 1)
+        self.clock.advance(COMPLETE_ANSWER_TTL_MS - 1)
         self.crash("a@1", "b@1", "c@1", "d@1")
         self.requests.receive_notice(CrashNotice("f", ("e@1", "g@1", "h@1")))
         self.assertEqual(self.requests.held_ms("f"), 0)
 
-    def test_a_request_that_crashes_a_new_version_is_found_later(self):
+    def test_a_request_that_crashes_a_new_version_is_detected_later(self):
         self.requests.note_complete_answer("f")
-        self.clock.advance(WHOLE_MS)
+        self.clock.advance(COMPLETE_ANSWER_TTL_MS)
         self.crash("a@1", "b@1", "c@1")
         self.assertGreater(self.requests.held_ms("f"), 0)
 
-    def test_whoever_made_it_a_suspect_is_told_better_and_tells_all(self):
-        # Popular at 41 entries, and whole at this one no minute ago: others counted it.
+    def test_the_entry_that_made_it_a_suspect_forwards_a_clearance(self):
+        # The request is popular at 41 entries and was completed at one of them less
+        # than a minute ago, while others counted a crash against it.
         self.crash("a@1")
         other = CrashingRequests(self.clock, lambda message: None)
         other.note_complete_answer("f")
-        answer = other.receive_notice(self.told[-1])
+        answer = other.receive_notice(self.sent[-1])
         self.requests.receive_clearance(answer)
         self.requests.receive_clearance(answer)
         self.assertEqual(self.requests.crashes("f"), 0)
-        self.assertEqual(self.told[1:], [Clearance("f")])
+        self.assertEqual(self.sent[1:], [Clearance("f")])
 
-    def test_whole_answers_of_others_are_told_nobody(self):
+    def test_complete_answers_of_requests_that_are_no_suspects_are_not_sent(self):
         self.requests.note_complete_answer("f")
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.sent, [])
 
-    def test_one_more_crash_behind_a_hold_holds_anew(self):
+    def test_one_more_crash_after_a_hold_holds_it_again(self):
         self.crash("a@1", "b@1", "c@1")
         self.clock.advance(HOLD_MS)
         self.assertEqual(self.requests.held_ms("f"), 0)
         self.crash("d@1")
         self.assertEqual(self.requests.held_ms("f"), HOLD_MS)
 
-    def test_old_crashes_are_forgotten(self):
+    def test_old_crashes_expire(self):
         self.crash("a@1", "b@1")
-        self.clock.advance(SUSPECT_MS + 1)
+        self.clock.advance(SUSPECT_TTL_MS + 1)
         self.crash("c@1")
         self.assertEqual(self.requests.crashes("f"), 1)
 
-    def test_many_suspects_and_lives_take_no_more_memory(self):
-        for number in range(MOST_SUSPECTS + 10):
+    def test_suspects_and_their_crashes_are_limited_in_number(self):
+        for number in range(MAX_SUSPECTS + 10):
             self.crash("a@1", fingerprint=f"f{number}")
-        self.assertEqual(self.requests.suspects, MOST_SUSPECTS)
+        self.assertEqual(self.requests.suspects, MAX_SUSPECTS)
         self.crash(*(f"{number}@1" for number in range(3 * MOST_CRASHES_TOLD)))
         self.assertEqual(self.requests.crashes("f"), MOST_CRASHES_TOLD)
-        decode(encode(self.told[-1]))
+        decode(encode(self.sent[-1]))
 
-    def test_what_the_store_holds_is_held_as_long_as_it_says_so(self):
-        self.requests.take_stored({"f"}, set())
+    def test_a_stored_hold_lasts_as_long_as_it_is_in_the_store(self):
+        self.requests.apply_stored({"f"}, set())
         self.assertEqual(self.requests.held_ms("f"), HOLD_MS)
-        self.assertEqual(self.requests.crashes("f"), MOST_CRASHES)
+        self.assertEqual(self.requests.crashes("f"), MAX_CRASHES)
         self.clock.advance(2 * HOLD_MS)
         self.assertGreater(self.requests.held_ms("f"), 0)
-        self.requests.take_stored(set(), set())
+        self.requests.apply_stored(set(), set())
         self.assertEqual(self.requests.held_ms("f"), 0)
 
     def test_the_store_clears_what_was_counted(self):
         self.crash("a@1", "b@1", "c@1")
-        self.requests.take_stored(set(), {"f"})
+        self.requests.apply_stored(set(), {"f"})
         self.assertEqual(self.requests.held_ms("f"), 0)
 
-    def test_a_clearance_of_nothing_is_nothing(self):
+    def test_a_clearance_of_an_unknown_request_is_ignored(self):
         self.requests.receive_clearance(Clearance("f"))
         self.assertEqual(self.requests.suspects, 0)
 
 
-def lose_a_rack(play):
-    """Let half of the upstreams lose power at the same moment."""
-    for life in tuple(play.lives)[::2]:
-        play.crash(life)
+def lose_a_rack(simulation):
+    """Crash half of the upstreams at the same moment."""
+    for upstream in tuple(simulation.upstreams)[::2]:
+        simulation.crash(upstream)
 
 
-def lose_a_rack_in_steps(play):
-    """Let all upstreams but two go, one each 0.3 s."""
-    for number, life in enumerate(tuple(play.lives)[2:]):
-        play.loop.call_later(0.3 * number, play.crash, life)
+def lose_a_rack_in_steps(simulation):
+    """Crash all upstreams but 2, one every 0.3 s."""
+    for number, upstream in enumerate(tuple(simulation.upstreams)[2:]):
+        simulation.loop.call_later(0.3 * number, simulation.crash, upstream)
 
 
-class TestPlayed(unittest.TestCase):
-    """Crashing requests among innocent ones, at 3 to 99 entries, in virtual time."""
+class TestSimulation(unittest.TestCase):
+    """Crashing requests among harmless ones, at 3 to 99 entries, in virtual time."""
 
-    def check(self, play, most_refused=0):
-        for number in range(play.crashers):
-            behind = play.sends_behind(number)
-            self.assertLessEqual(behind, MOST_SENDS_BEHIND, f"crasher {number}")
-        self.assertLessEqual(play.ends["refused"], most_refused)
-        self.assertGreater(play.ends["whole"], 1_000)
+    def check(self, simulation, max_refused=0):
+        for number in range(simulation.crashers):
+            sends = simulation.sends_after(number)
+            self.assertLessEqual(sends, MAX_SENDS_AFTER, f"crasher {number}")
+        self.assertLessEqual(simulation.ends["refused"], max_refused)
+        self.assertGreater(simulation.ends["whole"], 1_000)
 
-    def test_crashers_are_held_back_and_nobody_else(self):
+    def test_only_crashers_are_held_back(self):
         for entries in (3, 6, 41, 99):
             for crashers, at_once in ((1, 1), (1, 3), (4, 2)):
                 with self.subTest(entries=entries, crashers=crashers, at_once=at_once):
-                    self.check(Play(entries, 16, 2, crashers, at_once).play())
+                    self.check(Simulation(entries, 16, 2, crashers, at_once).play())
 
     def test_a_tenth_of_the_notices_is_lost(self):
         for seed in range(4):
             with self.subTest(seed=seed):
-                play = Play(41, crashers=2, at_once=2, lost_share=0.1, seed=seed)
-                self.check(play.play())
+                simulation = Simulation(
+                    41, crashers=2, at_once=2, lost_share=0.1, seed=seed
+                )
+                self.check(simulation.play())
 
-    def test_ordinary_crashes_hold_nobody_back(self):
+    def test_ordinary_crashes_hold_no_request_back(self):
         for seed in range(4):
             with self.subTest(seed=seed):
-                self.check(Play(6, crashers=0, ordinary_s=0.4, seed=seed).play())
+                self.check(Simulation(6, crashers=0, ordinary_s=0.4, seed=seed).play())
 
-    def test_a_rack_that_loses_power_holds_nobody_back(self):
+    def test_a_rack_that_loses_power_holds_no_request_back(self):
         for lose in (lose_a_rack, lose_a_rack_in_steps):
             events = {at_s: lose for at_s in (5.0, 12.0, 19.0)}
             for seed in range(4):
                 with self.subTest(lose=lose.__name__, seed=seed):
-                    play = Play(6, crashers=1, events=events, seed=seed)
-                    self.check(play.play())
+                    simulation = Simulation(6, crashers=1, events=events, seed=seed)
+                    self.check(simulation.play())
 
     def test_a_crasher_costs_few_datagrams(self):
-        # Three crashes, a few requests beside each, told to 98 others.
-        play = Play(99, crashers=1).play()
-        self.assertLess(play.bytes / play.entry_count, 3_000)
+        # Notices of 3 crashes and of a few requests beside each, to 98 entries.
+        simulation = Simulation(99, crashers=1).play()
+        self.assertLess(simulation.bytes / simulation.entry_count, 3_000)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_held_requests.py
+++ b/tests/gateway/test_held_requests.py
@@ -8,7 +8,7 @@
 from fuchsiahatch_gateway.defaults import HELD_PREFIX
 from fuchsiahatch_gateway.following import Follower
 from fuchsiahatch_gateway.held_requests import (
-    WRITERS,
+    MAX_WRITERS,
     HeldRecord,
     HeldRequests,
     decode_held_record,
@@ -19,25 +19,25 @@
 from tests.gateway.sites import until
 from tests.loopback import run
 
-THREE = CrashNotice("f", ("a@1", "b@1", "c@1"))
+THREE_CRASHES = CrashNotice("f", ("a@1", "b@1", "c@1"))
 
 
 class Entry:
-    """What one entry knows of held requests; nobody hears its datagrams."""
+    """One entry's view of held requests; its datagrams reach no other entry."""
 
-    def __init__(self, store, place):
+    def __init__(self, store, entry_index):
         clock = Clock()
         self.requests = CrashingRequests(clock, lambda message: None)
-        self.held = HeldRequests(store, self.requests, lambda: place)
+        self.held = HeldRequests(store, self.requests, lambda: entry_index)
         health = StoreHealth()
-        self.copy = ItemCopy(HELD_PREFIX, health, clock, self.note_change)
+        self.copy = ItemCopy(HELD_PREFIX, health, clock, self.apply_change)
         self.follower = Follower(store, HELD_PREFIX, health, clock, [self.copy])
-        self.works = [
-            asyncio.ensure_future(work)
-            for work in (self.follower.run(), self.held.run())
+        self.tasks = [
+            asyncio.ensure_future(task)
+            for task in (self.follower.run(), self.held.run())
         ]
 
-    def note_change(self):
+    def apply_change(self):
         self.held.apply(self.copy.items)
 
     @property
@@ -46,27 +46,27 @@
 
 
 class Entries:
-    """Some entries at the store's stand-in, for the time of a context."""
+    """Context manager of entries that use the store's stand-in."""
 
-    def __init__(self, places):
-        self.places = places
+    def __init__(self, entry_indexes):
+        self.entry_indexes = entry_indexes
 
     async def __aenter__(self):
         self._served = Served()
         served = await self._served.__aenter__()
         self.store, self._client = served.store, served.client
-        self.all = [self.start(place) for place in self.places]
+        self.all = [self.start(entry_index) for entry_index in self.entry_indexes]
         await until(lambda: all(one.follower.synced for one in self.all))
         return self
 
     async def __aexit__(self, *exc_info):
         for one in self.all:
-            for work in one.works:
-                work.cancel()
+            for task in one.tasks:
+                task.cancel()
         await self._served.__aexit__(*exc_info)
 
-    def start(self, place):
-        return Entry(self._client, place)
+    def start(self, entry_index):
+        return Entry(self._client, entry_index)
 
     def stored(self):
         value = self.store.get(HELD_PREFIX + "f")
@@ -74,82 +74,82 @@
 
 
 class TestHeldRequests(unittest.TestCase):
-    def play(self, work, places=(0, 1, 2)):
+    def run_scenario(self, scenario, entry_indexes=(0, 1, 2)):
         async def play():
-            async with Entries(places) as entries:
-                return await work(entries)
+            async with Entries(entry_indexes) as entries:
+                return await scenario(entries)
 
         return run(play())
 
-    def test_those_that_heard_no_notice_learn_of_it_and_those_that_start(self):
-        async def work(entries):
-            entries.all[0].requests.receive_notice(THREE)
+    def test_entries_that_start_or_missed_the_notice_learn_of_it(self):
+        async def scenario(entries):
+            entries.all[0].requests.receive_notice(THREE_CRASHES)
             await until(lambda: all(one.holds for one in entries.all))
             late = entries.start(3)
             entries.all.append(late)
             await until(lambda: late.follower.synced)
             return late.holds, entries.stored()
 
-        holds, stored = self.play(work)
+        holds, stored = self.run_scenario(scenario)
         self.assertTrue(holds)
-        self.assertEqual(stored, HeldRecord(True, THREE.lives))
+        self.assertEqual(stored, HeldRecord(True, THREE_CRASHES.lives))
 
-    def test_a_hundred_that_counted_it_make_a_few_writes(self):
-        async def work(entries):
+    def test_many_entries_that_counted_it_make_a_few_writes(self):
+        async def scenario(entries):
             for one in entries.all:
-                one.requests.receive_notice(THREE)
+                one.requests.receive_notice(THREE_CRASHES)
             await until(lambda: entries.stored() is not None)
             await asyncio.sleep(1.5)
             return entries.store.calls.count("/-/kv-txn")
 
-        self.assertLessEqual(self.play(work, range(40)), WRITERS)
+        self.assertLessEqual(self.run_scenario(scenario, range(40)), MAX_WRITERS)
 
-    def test_the_third_writes_where_the_first_two_are_gone(self):
-        async def work(entries):
-            entries.all[0].requests.receive_notice(THREE)
+    def test_the_third_entry_writes_where_the_first_two_are_missing(self):
+        async def scenario(entries):
+            entries.all[0].requests.receive_notice(THREE_CRASHES)
             await until(lambda: entries.stored() is not None)
 
-        self.play(work, (WRITERS - 1,))
+        self.run_scenario(scenario, (MAX_WRITERS - 1,))
 
     def test_an_older_copy_of_the_store_loses_nothing(self):
-        async def work(entries):
+        async def scenario(entries):
             copy = entries.store.copy()
-            entries.all[0].requests.receive_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE_CRASHES)
             await until(lambda: entries.stored() is not None)
             entries.store.restore(copy)
             self.assertIsNone(entries.stored())
             await until(lambda: entries.stored() is not None)
 
-        self.play(work)
+        self.run_scenario(scenario)
 
     def test_an_outage_loses_nothing(self):
-        async def work(entries):
+        async def scenario(entries):
             entries.store.faults.status = 503
-            entries.all[0].requests.receive_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE_CRASHES)
             await asyncio.sleep(0.5)
             entries.store.faults.status = 0
             await until(lambda: entries.stored() is not None)
             self.assertTrue(entries.all[0].holds)
 
-        self.play(work)
+        self.run_scenario(scenario)
 
-    def test_a_whole_answer_clears_it_for_good_also_where_nobody_hears_of_it(self):
-        async def work(entries):
+    def test_a_complete_answer_clears_it_at_entries_that_miss_the_clearance(self):
+        async def scenario(entries):
             counted = entries.all[:2]
             for one in counted:
-                one.requests.receive_notice(THREE)
+                one.requests.receive_notice(THREE_CRASHES)
             await until(lambda: all(one.holds for one in entries.all))
             entries.all[2].requests.note_complete_answer("f")
             await until(lambda: not any(one.holds for one in entries.all))
-            await asyncio.sleep(held_requests.LOOK_MS / 1000 + 0.5)
+            await asyncio.sleep(held_requests.CHECK_INTERVAL_MS / 1000 + 0.5)
             return entries.stored(), [one.holds for one in entries.all]
 
-        stored, holds = self.play(work)
+        stored, holds = self.run_scenario(scenario)
         self.assertEqual((stored.held, holds), (False, [False] * 3))
 
-    def test_crashes_behind_a_clearance_count_anew(self):
-        async def work(entries):
-            entries.all[0].requests.receive_notice(THREE)
+    def test_crashes_after_a_clearance_count_again(self):
+        async def scenario(entries):
+            entries.all[0].requests.receive_notice(THREE_CRASHES)
             await until(lambda: entries.all[2].holds)
             entries.all[2].requests.note_complete_answer("f")
             await until(lambda: not entries.all[0].holds)
@@ -158,33 +158,33 @@
             await until(lambda: entries.stored().held)
             return entries.stored()
 
-        self.assertEqual(self.play(work).upstreams, ("d@1", "e@1", "g@1"))
+        self.assertEqual(self.run_scenario(scenario).upstreams, ("d@1", "e@1", "g@1"))
 
-    def test_its_lease_ends_the_hold_by_itself(self):
-        async def work(entries):
-            entries.all[0].requests.receive_notice(THREE)
+    def test_the_hold_ends_with_its_lease(self):
+        async def scenario(entries):
+            entries.all[0].requests.receive_notice(THREE_CRASHES)
             await until(lambda: entries.all[1].holds)
             (ttl_ms,) = entries.store.copy().ttls_ms.values()
             self.assertAlmostEqual(ttl_ms, HOLD_MS, delta=2_000)
-            # Nobody that counted it is there any more.
-            for one in entries.all[0].works:
+            # No entry that counted it is running any more.
+            for one in entries.all[0].tasks:
                 one.cancel()
             entries.store.end_leases()
             await until(lambda: not entries.all[1].holds)
 
-        self.play(work)
+        self.run_scenario(scenario)
 
-    def test_what_cannot_be_read_holds_nobody_and_is_written_anew(self):
-        async def work(entries):
+    def test_an_unreadable_record_holds_no_request_and_is_written_again(self):
+        async def scenario(entries):
             entries.store.put(HELD_PREFIX + "f", b"{broken")
             entries.store.put(HELD_PREFIX + "g", b"[]")
             await asyncio.sleep(0.3)
             self.assertFalse(any(one.holds for one in entries.all))
-            entries.all[0].requests.receive_notice(THREE)
+            entries.all[0].requests.receive_notice(THREE_CRASHES)
             await until(lambda: entries.store.get(HELD_PREFIX + "f") != b"{broken")
             return entries.stored()
 
-        self.assertTrue(self.play(work).held)
+        self.assertTrue(self.run_scenario(scenario).held)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_upstream_crashes.py
+++ b/tests/gateway/test_upstream_crashes.py
@@ -4,7 +4,11 @@
 
 from fuchsiahatch_gateway.crashing_requests import CrashingRequests
 from fuchsiahatch_gateway.datagrams import LoadReport
-from fuchsiahatch_gateway.upstream_crashes import ASK_MS, LINK_MS, UpstreamCrashes
+from fuchsiahatch_gateway.upstream_crashes import (
+    CORRELATION_MS,
+    PROBE_TIMEOUT_MS,
+    UpstreamCrashes,
+)
 from fuchsiahatch_standins.virtual_time import run_virtually
 from tests.gateway.mortal_upstreams import DEADLY, MortalUpstream, deadly_sends
 from tests.gateway.sites import (
@@ -19,21 +23,21 @@
 from tests.loopback import run
 
 
-def make_life(life="a@1", leaving=False):
+def make_upstream(incarnation="a@1", leaving=False):
     address = types.SimpleNamespace(ip="10.0.0.1", port=80)
     entry = types.SimpleNamespace(instance="a", leaving=leaving, address=address)
-    return types.SimpleNamespace(life=life, entry=entry)
+    return types.SimpleNamespace(incarnation=incarnation, entry=entry)
 
 
-class TestEvidence(unittest.TestCase):
-    def play(self, work, refused=True, takes_ms=3):
-        async def play(loop):
+class TestCrashDetection(unittest.TestCase):
+    def simulate(self, scenario, refused=True, takes_ms=3):
+        async def main(loop):
             clock = loop.make_clock()
             self.requests = CrashingRequests(clock, lambda message: None)
-            self.asked = 0
+            self.probes = 0
 
             async def is_refused(ip, port):
-                self.asked += 1
+                self.probes += 1
                 await asyncio.sleep(takes_ms / 1000)
                 return refused
 
@@ -41,94 +45,94 @@
             self.crashes = UpstreamCrashes(
                 self.requests, is_refused, lambda instance: self.listed, clock
             )
-            await work()
+            await scenario()
 
-        run_virtually(play)
+        run_virtually(main)
 
     def test_a_connection_that_was_cut_is_no_crash(self):
-        async def work():
-            self.assertFalse(await self.crashes.examine("f", make_life()))
+        async def scenario():
+            self.assertFalse(await self.crashes.examine("f", make_upstream()))
             self.assertEqual(self.requests.crashes("f"), 0)
 
-        self.play(work, refused=False)
+        self.simulate(scenario, refused=False)
 
-    def test_all_that_break_together_ask_once(self):
-        async def work():
-            life = make_life()
-            asks = [self.crashes.examine(f"f{at}", life) for at in range(6)]
+    def test_answers_that_break_together_share_a_probe(self):
+        async def scenario():
+            target = make_upstream()
+            asks = [self.crashes.examine(f"f{at}", target) for at in range(6)]
             self.assertEqual(await asyncio.gather(*asks), [True] * 6)
-            self.assertTrue(await self.crashes.examine("late", life))
-            self.assertEqual((self.asked, self.requests.suspects), (1, 7))
+            self.assertTrue(await self.crashes.examine("late", target))
+            self.assertEqual((self.probes, self.requests.suspects), (1, 7))
 
-        self.play(work)
+        self.simulate(scenario)
 
-    def test_a_caller_that_leaves_meanwhile_takes_no_evidence_along(self):
-        async def work():
-            asking = asyncio.ensure_future(self.crashes.examine("f", make_life()))
+    def test_a_caller_that_disconnects_does_not_cancel_the_probe(self):
+        async def scenario():
+            asking = asyncio.ensure_future(self.crashes.examine("f", make_upstream()))
             await asyncio.sleep(0.001)
             asking.cancel()
             await asyncio.sleep(0.01)
             self.assertEqual(self.requests.crashes("f"), 1)
 
-        self.play(work)
+        self.simulate(scenario)
 
-    def test_a_dark_host_is_not_waited_for(self):
-        async def work():
+    def test_an_unreachable_host_delays_the_check_by_the_timeout_only(self):
+        async def scenario():
             began_s = asyncio.get_running_loop().time()
-            self.assertFalse(await self.crashes.examine("f", make_life()))
+            self.assertFalse(await self.crashes.examine("f", make_upstream()))
             took_s = asyncio.get_running_loop().time() - began_s
-            self.assertLessEqual(took_s, ASK_MS / 1000 + 0.001)
+            self.assertLessEqual(took_s, PROBE_TIMEOUT_MS / 1000 + 0.001)
 
-        self.play(work, takes_ms=10 * ASK_MS)
+        self.simulate(scenario, takes_ms=10 * PROBE_TIMEOUT_MS)
 
-    def test_an_upstream_that_leaves_counts_against_nobody(self):
-        async def work():
-            leaving = make_life(leaving=True)
+    def test_a_leaving_upstream_counts_against_no_request(self):
+        async def scenario():
+            leaving = make_upstream(leaving=True)
             self.assertFalse(await self.crashes.examine("f", leaving))
             self.crashes.note_restart(leaving)
             self.assertEqual(self.requests.crashes("f"), 0)
 
-        self.play(work)
+        self.simulate(scenario)
 
-    def test_one_that_left_unsaid_counts_against_nobody(self):
-        # Its entry was removed, and it served on for a while before it exited.
-        async def work():
+    def test_a_removed_upstream_counts_against_no_request(self):
+        # Its entry was removed while it still served, some time before it exited.
+        async def scenario():
             self.listed = False
-            self.assertFalse(await self.crashes.examine("f", make_life()))
-            self.assertEqual((self.asked, self.requests.suspects), (0, 0))
+            self.assertFalse(await self.crashes.examine("f", make_upstream()))
+            self.assertEqual((self.probes, self.requests.suspects), (0, 0))
 
-        self.play(work)
+        self.simulate(scenario)
 
-    def test_a_later_life_shows_that_the_former_one_ended(self):
-        async def work():
-            self.assertFalse(await self.crashes.examine("cut", make_life()))
-            self.crashes.note_unanswered("silent", make_life())
-            await asyncio.sleep(LINK_MS / 1000 - 1)
-            self.crashes.note_restart(make_life())
+    def test_a_restart_shows_that_the_previous_incarnation_ended(self):
+        async def scenario():
+            self.assertFalse(await self.crashes.examine("cut", make_upstream()))
+            self.crashes.note_unanswered("silent", make_upstream())
+            await asyncio.sleep(CORRELATION_MS / 1000 - 1)
+            self.crashes.note_restart(make_upstream())
             self.assertEqual(self.requests.crashes("cut"), 1)
             self.assertEqual(self.requests.crashes("silent"), 1)
 
-        self.play(work, refused=False)
+        self.simulate(scenario, refused=False)
 
-    def test_a_restart_under_no_request_of_ours_is_no_crash(self):
-        async def work():
-            self.crashes.note_restart(make_life())
-            self.assertEqual(self.crashes._over, {})
+    def test_a_restart_without_a_broken_answer_is_no_crash(self):
+        async def scenario():
+            self.crashes.note_restart(make_upstream())
+            self.assertEqual(self.crashes._ended, {})
 
-        self.play(work)
+        self.simulate(scenario)
 
-    def test_an_old_break_has_nothing_to_do_with_a_restart(self):
-        async def work():
-            await self.crashes.examine("f", make_life())
-            await asyncio.sleep(LINK_MS / 1000)
-            self.crashes.note_restart(make_life())
+    def test_an_old_broken_answer_is_not_linked_to_a_restart(self):
+        async def scenario():
+            await self.crashes.examine("f", make_upstream())
+            await asyncio.sleep(CORRELATION_MS / 1000)
+            self.crashes.note_restart(make_upstream())
             self.assertEqual(self.requests.crashes("f"), 0)
 
-        self.play(work, refused=False)
+        self.simulate(scenario, refused=False)
 
 
 class TestEntry(unittest.TestCase):
-    def play(self, path, group="", script=None):
+    def send_deadly_request(self, path, group="", script=None):
         """Send the deadly request once to an entry before two upstreams."""
 
         async def play():
@@ -148,15 +152,15 @@
 
         return run(play())
 
-    def test_a_crash_of_a_plain_upstream_is_made_up_for_at_another(self):
-        _, sends, _ = self.play("/safe/")
+    def test_a_crash_of_a_plain_upstream_is_retried_at_another(self):
+        _, sends, _ = self.send_deadly_request("/safe/")
         self.assertEqual(sends, 2)
 
-    def test_a_second_rank_group_is_not_lost_to_the_same_request(self):
-        reply, sends, crashing = self.play("/chat/", group="g")
+    def test_a_second_rank_group_does_not_get_the_same_request(self):
+        reply, sends, crashing = self.send_deadly_request("/chat/", group="g")
         self.assertEqual((reply.status, sends, crashing.suspects), (502, 1, 1))
 
-    def test_a_reset_alone_makes_nobody_a_suspect(self):
+    def test_a_reset_alone_makes_no_suspect(self):
         async def play():
             one = upstream(resets, answers(), resets, answers(), resets, answers())
             async with Site(one) as site:
@@ -168,8 +172,8 @@
 
         self.assertEqual(run(play()), ([200] * 3, 0))
 
-    def test_a_stream_whose_events_came_goes_on_in_the_other_group(self):
-        # An innocent one, beside a request that crashes its engine.
+    def test_a_stream_with_events_is_resumed_in_the_other_group(self):
+        # It ran beside a request that crashed their engine.
         async def play():
             async with Site() as site:
                 first = MortalUpstream(site, "a", 2.0)
