--- a/packages/gateway/src/fuchsiahatch_gateway/silent_agents.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/silent_agents.py
@@ -1,4 +1,4 @@
-"""Ranks whose agents are silent: the leader speaks with their engines itself."""
+"""Ranks whose agents are silent: the leader contacts their engines directly."""
 
 import asyncio
 import typing as t
@@ -13,24 +13,24 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.model_engine import ModelEngine
 
-#: Silence of an agent after which the leader speaks with its engine itself: an agent
-#: that was killed, or whose host stands still, must not hold its group until it is back
-#: nor keep it on an old map (measured: four seconds at a skew of 2 to 3). Such orders
-#: and reports are priced, so that it is done in need only.
+#: Silence of an agent after which the leader contacts its engine directly: an agent
+#: that was killed, or whose host has stalled, must neither hold its group until it is
+#: back nor keep it on an old map, which lasts for 4 s at a skew of 2 to 3. Direct
+#: orders and reports are priced, so they are used only when needed.
 SILENCE_TIMEOUT_MS = 350
-#: Pause between two reports that the leader asks an engine for itself, while passes may
-#: be held back and otherwise.
-HELD_POLL_MS = 40
+#: Interval between two direct polls of an engine, while passes may be held back and
+#: otherwise.
+HELD_POLL_INTERVAL_MS = 40
 POLL_INTERVAL_MS = 150
-#: Share of the leader's link for such questions, and what one takes of it with its
-#: answer. 57 engines asked at once each 150 ms filled a link of 4 Mbit/s: every call
-#: timed out, the renewal of the lease among them.
-ASKING_LINK_SHARE = 0.1
+#: Share of the leader's link for such polls, and the size of a poll with its answer.
+#: Polling 57 engines at once every 150 ms fills a link of 4 Mbit/s, and every call
+#: times out, including the renewal of the lease.
+POLL_LINK_SHARE = 0.1
 POLL_BYTES = 1_000
-#: Engines that are asked at once however narrow the link is.
-LEAST_ASKED = 3
-#: Pause between two searches for engines whose agents were never heard.
-SEARCH_MS = 1_000
+#: Concurrent polls that are allowed however slow the link is.
+MIN_CONCURRENT_POLLS = 3
+#: Interval between two searches for engines whose agents have never sent anything.
+SEARCH_INTERVAL_MS = 1_000
 #: Phases in which passes may be held back, by this leader or an earlier one.
 _HOLDING_PHASES = (
     Phase.SETTLING,
@@ -42,7 +42,7 @@
 
 
 class SilentAgents:
-    """Keeps note of which agents are heard, and asks the engines of the others.
+    """Tracks which agents are in contact, and polls the engines of the others.
 
     Parameters
     ----------
@@ -53,27 +53,27 @@
     list_engines : coroutine function
         Returns the addresses of all engines of the service.
     on_report : callable
-        Is given the reports that the leader asked for itself.
+        Called with each report from a direct poll.
     link_bytes_per_s : float
         Bandwidth of the leader's host.
     """
 
     __slots__ = (
         "_addresses",
-        "_asking",
+        "_clients",
+        "_contact_ms",
         "_engine_of",
         "_group",
-        "_heard_ms",
-        "_last_asked_ms",
         "_list_engines",
-        "_most_asked",
+        "_max_polls",
         "_on_report",
         "_own_rank",
-        "_poll_ms",
+        "_poll_interval_ms",
+        "_polled_ms",
+        "_polling",
         "_ranks",
         "_searched_ms",
-        "_since_ms",
-        "_speakers",
+        "_started_ms",
         "_tasks",
         "_term",
     )
@@ -97,127 +97,151 @@
         self._list_engines = list_engines
         self._on_report = on_report
         self._addresses: dict[int, str] = {}
-        self._heard_ms: dict[int, int] = {}
-        self._since_ms: int | None = None
-        self._poll_ms = POLL_INTERVAL_MS
+        self._contact_ms: dict[int, int] = {}
+        self._started_ms: int | None = None
+        self._poll_interval_ms = POLL_INTERVAL_MS
         self._searched_ms: int | None = None
-        self._speakers: dict[int, RankAgent] = {}
-        self._asking: set[int] = set()
-        self._last_asked_ms: dict[int, int] = {}
-        room_bytes = ASKING_LINK_SHARE * link_bytes_per_s * POLL_INTERVAL_MS / 1000
-        self._most_asked = max(int(room_bytes / POLL_BYTES), LEAST_ASKED)
+        self._clients: dict[int, RankAgent] = {}
+        self._polling: set[int] = set()
+        self._polled_ms: dict[int, int] = {}
+        budget_bytes = POLL_LINK_SHARE * link_bytes_per_s * POLL_INTERVAL_MS / 1000
+        self._max_polls = max(int(budget_bytes / POLL_BYTES), MIN_CONCURRENT_POLLS)
         self._tasks = Tasks()
 
     def note_contact(self, rank: int, address: str, heard_ms: int) -> None:
-        """Note that a rank's agent was heard, by the clock of `Hearing`."""
+        """Note a message from a rank's agent.
+
+        Parameters
+        ----------
+        rank : int
+        address : str
+            Address of the rank's engine.
+        heard_ms : int
+            Time for which agents could be heard, by the clock of `Hearing`.
+        """
         self._addresses[rank] = address
-        self._heard_ms[rank] = heard_ms
-        self._speakers.pop(rank, None)
+        self._contact_ms[rank] = heard_ms
+        self._clients.pop(rank, None)
 
     def address(self, rank: int) -> str | None:
         """Return the address of a rank's engine, if it is known."""
         return self._addresses.get(rank)
 
     def next_rank_with_agent(self, rank: int) -> int | None:
-        """Return the next rank behind one whose agent is heard, or None."""
-        behind = ((rank + step) % self._ranks for step in range(1, self._ranks))
+        """Return the next rank after a given one whose agent is in contact, or None."""
+        following = ((rank + step) % self._ranks for step in range(1, self._ranks))
         return next(
             (
                 one
-                for one in behind
-                if one in self._heard_ms and not self.direct_client(one)
+                for one in following
+                if one in self._contact_ms and not self.direct_client(one)
             ),
             None,
         )
 
     def direct_client(self, rank: int) -> RankAgent | None:
-        """Return who speaks with a rank's engine in place of its agent, if anybody."""
-        return self._speakers.get(rank)
+        """Return the leader's client of a rank's engine if the agent is silent."""
+        return self._clients.get(rank)
 
     def work(self, phase: Phase, heard_ms: int, now_ms: int) -> None:
-        """Ask the engines of silent agents.
+        """Poll the engines of silent agents.
 
         Parameters
         ----------
         phase : Phase
+            Phase of the switch, which decides the polling interval.
         heard_ms : int
-            Time for which agents could be heard.
+            Time for which agents could be heard, by the clock of `Hearing`.
         now_ms : int
         """
-        self._poll_ms = HELD_POLL_MS if phase in _HOLDING_PHASES else POLL_INTERVAL_MS
-        if self._since_ms is None:
-            self._since_ms = heard_ms
+        self._poll_interval_ms = (
+            HELD_POLL_INTERVAL_MS if phase in _HOLDING_PHASES else POLL_INTERVAL_MS
+        )
+        if self._started_ms is None:
+            self._started_ms = heard_ms
         for rank in self._silent_ranks(heard_ms - SILENCE_TIMEOUT_MS):
-            self._speak_for(rank, now_ms)
+            self._poll(rank, now_ms)
 
     def _silent_ranks(self, until_ms: int) -> list[int]:
-        """Return the ranks not heard since a time, those asked longest ago first."""
-        since_ms = self._since_ms or 0
+        """Return ranks without contact since a time, least recently polled first.
+
+        The leader's own rank is never among them.
+        """
+        started_ms = self._started_ms or 0
         silent = (
             rank
             for rank in range(self._ranks)
-            if rank != self._own_rank and self._heard_ms.get(rank, since_ms) <= until_ms
+            if rank != self._own_rank
+            and self._contact_ms.get(rank, started_ms) <= until_ms
         )
-        return sorted(silent, key=lambda rank: self._last_asked_ms.get(rank, 0))
+        return sorted(silent, key=lambda rank: self._polled_ms.get(rank, 0))
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Cancel all polls."""
         self._tasks.cancel()
 
-    def _speak_for(self, rank: int, now_ms: int) -> None:
+    def _poll(self, rank: int, now_ms: int) -> None:
         address = self._addresses.get(rank)
         if address is None:
             self._search(now_ms)
             return
-        if rank in self._asking or len(self._asking) >= self._most_asked:
+        if rank in self._polling or len(self._polling) >= self._max_polls:
             return
-        if rank not in self._speakers:
+        if rank not in self._clients:
             log_event(Event.AGENT_LOST, group=self._group, rank=rank)
-            self._speakers[rank] = self._make_speaker(address)
-        self._asking.add(rank)
-        self._last_asked_ms[rank] = now_ms
-        self._tasks.begin(self._ask(rank, self._speakers[rank]))
+            self._clients[rank] = self._make_client(address)
+        self._polling.add(rank)
+        self._polled_ms[rank] = now_ms
+        self._tasks.begin(self._poll_engine(rank, self._clients[rank]))
 
     def _search(self, now_ms: int) -> None:
-        if self._searched_ms is not None and now_ms - self._searched_ms < SEARCH_MS:
+        if (
+            self._searched_ms is not None
+            and now_ms - self._searched_ms < SEARCH_INTERVAL_MS
+        ):
             return
         self._searched_ms = now_ms
         self._tasks.begin(self._find_engines())
 
     async def _find_engines(self) -> None:
-        """Ask the engines that no agent speaks for which rank they are."""
+        """Ask the engines without a known agent for their ranks."""
         try:
             listed = await self._list_engines()
         except PlatformError as fault:
             log_event(Event.SERVICE_CALL_FAILED, detail=fault.detail)
             return
         unknown = set(listed) - set(self._addresses.values())
-        # A few at a time, as above: those of a fleet of 190 would fill the link.
-        room = asyncio.Semaphore(self._most_asked)
-        await asyncio.gather(*(self._ask_rank(one, room) for one in unknown))
+        # A few at a time: polling the engines of a fleet of 190 at once would fill the
+        # link.
+        semaphore = asyncio.Semaphore(self._max_polls)
+        await asyncio.gather(
+            *(self._identify_engine(address, semaphore) for address in unknown)
+        )
 
-    async def _ask_rank(self, address: str, room: asyncio.Semaphore) -> None:
+    async def _identify_engine(
+        self, address: str, semaphore: asyncio.Semaphore
+    ) -> None:
         try:
-            async with room:
-                seen = await self._engine_of(address).report()
+            async with semaphore:
+                report = await self._engine_of(address).report()
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, address=address, detail=fault.detail)
             return
-        if seen.group == self._group:
-            self._addresses.setdefault(seen.rank, address)
+        if report.group == self._group:
+            self._addresses.setdefault(report.rank, address)
 
-    async def _ask(self, rank: int, speaker: RankAgent) -> None:
+    async def _poll_engine(self, rank: int, client: RankAgent) -> None:
         try:
-            state = await speaker.read_state(with_choices=False)
-            if self._speakers.get(rank) is speaker and state.report.rank == rank:
+            state = await client.read_state(with_choices=False)
+            if self._clients.get(rank) is client and state.report.rank == rank:
                 self._on_report(state.report)
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, rank=rank, detail=fault.detail)
         finally:
-            await asyncio.sleep(self._poll_ms / 1000)
-            self._asking.discard(rank)
+            await asyncio.sleep(self._poll_interval_ms / 1000)
+            self._polling.discard(rank)
 
-    def _make_speaker(self, address: str) -> RankAgent:
-        speaker = RankAgent(self._engine_of(address), address)
-        speaker.note_term(self._term)
-        return speaker
+    def _make_client(self, address: str) -> RankAgent:
+        client = RankAgent(self._engine_of(address), address)
+        client.note_term(self._term)
+        return client
