--- a/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
@@ -178,9 +178,11 @@
         """Return the requests that this entry holds back by its own counts."""
         now_ms = self._clock.now_ms()
         return [
-            Hold(fingerprint, tuple(one.incarnations), one.held_until_ms - now_ms)
-            for fingerprint, one in self._suspects.items()
-            if one.held_until_ms > now_ms
+            Hold(
+                fingerprint, tuple(suspect.incarnations), suspect.held_until_ms - now_ms
+            )
+            for fingerprint, suspect in self._suspects.items()
+            if suspect.held_until_ms > now_ms
         ]
 
     def has_complete_answer(self, fingerprint: str) -> bool:
@@ -195,7 +197,7 @@
     def held(self) -> int:
         """Number of requests that are held back."""
         return len(
-            self._stored_ms.keys() | {one.fingerprint for one in self.local_holds()}
+            self._stored_ms.keys() | {hold.fingerprint for hold in self.local_holds()}
         )
 
     @property
@@ -264,7 +266,7 @@
 
     def _drop_expired(self, now_ms: int) -> None:
         expired = itertools.takewhile(
-            lambda one: now_ms - one[1].crashed_ms > SUSPECT_TTL_MS,
+            lambda item: now_ms - item[1].crashed_ms > SUSPECT_TTL_MS,
             self._suspects.items(),
         )
         for fingerprint, _ in list(expired):
--- a/packages/gateway/src/fuchsiahatch_gateway/departed_upstreams.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/departed_upstreams.py
@@ -47,9 +47,9 @@
         """Remember an upstream whose entry was removed."""
         now_ms = self._clock.now_ms()
         self._departed = {
-            instance: known
-            for instance, known in self._departed.items()
-            if now_ms - known.removed_ms < RETENTION_MS
+            instance: record
+            for instance, record in self._departed.items()
+            if now_ms - record.removed_ms < RETENTION_MS
         }
         departed = _RemovedUpstream(upstream.born_ms, upstream.entry_version, now_ms)
         self._departed[upstream.entry.instance] = departed
--- a/packages/gateway/src/fuchsiahatch_gateway/fleet.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/fleet.py
@@ -197,7 +197,7 @@
         return self._clock.now_ms() - opened_ms < OPENING_DELAY_MS
 
     def _awaits_report(self, upstream: Upstream) -> bool:
-        """Return whether an engine gets no request before its first load report.
+        """Return whether requests to an engine must wait for its first load report.
 
         When everything restarts at once, an entry serves some 500 ms before the rank
         groups have formed. Each request that it sends there is refused, which uses up
@@ -243,11 +243,11 @@
         candidates = self._of_known_load(self._untried(free, tried), now_ms)
         if not candidates:
             return None
-        latencies = [known.latency_ms for known in candidates if known.latency_ms]
-        passes = [known.pass_ms for known in candidates if known.pass_ms]
+        latencies = [choice.latency_ms for choice in candidates if choice.latency_ms]
+        passes = [choice.pass_ms for choice in candidates if choice.pass_ms]
         fastest = _Fastest(min(latencies, default=0.0), min(passes, default=0.0))
         drawn = self._rng.sample(candidates, min(SAMPLE_SIZE, len(candidates)))
-        return min(drawn, key=lambda known: self._cost(known, now_ms, fastest))
+        return min(drawn, key=lambda choice: self._cost(choice, now_ms, fastest))
 
     def permit_wait_ms(self, service: str) -> int | None:
         """Return the time until a permit may be asked for, if every upstream needs one.
@@ -255,7 +255,9 @@
         None where some upstream needs no permit, even if it is full now.
         """
         now_ms = self._clock.now_ms()
-        waits_ms = [known.limited_until_ms - now_ms for known in self.usable(service)]
+        waits_ms = [
+            upstream.limited_until_ms - now_ms for upstream in self.usable(service)
+        ]
         if not waits_ms or min(waits_ms) <= 0:
             return None
         return min(waits_ms)
@@ -267,7 +269,9 @@
         consist of unreachable upstreams only.
         """
         known_load = [
-            known for known in candidates if not self._unknown_load_cost(known, now_ms)
+            upstream
+            for upstream in candidates
+            if not self._unknown_load_cost(upstream, now_ms)
         ]
         return known_load or candidates
 
@@ -284,14 +288,18 @@
 
         All ranks of a group stall together when one of them dies.
         """
-        untried = [known for known in free if known.entry.instance not in tried]
+        untried = [
+            upstream for upstream in free if upstream.entry.instance not in tried
+        ]
         groups = {
             self.upstreams[instance].group
             for instance in tried
             if instance in self.upstreams
         }
         elsewhere = [
-            known for known in untried if not known.group or known.group not in groups
+            upstream
+            for upstream in untried
+            if not upstream.group or upstream.group not in groups
         ]
         return elsewhere or untried or free
 
@@ -383,8 +391,10 @@
 def _fastest_paces(upstreams: t.Iterable[Upstream]) -> dict[str, float]:
     """Return the pace of the fastest upstream of each group."""
     paces: dict[str, float] = {}
-    for known in upstreams:
-        paces[known.group] = min(known.pace, paces.get(known.group, known.pace))
+    for upstream in upstreams:
+        paces[upstream.group] = min(
+            upstream.pace, paces.get(upstream.group, upstream.pace)
+        )
     return paces
 
 
@@ -395,7 +405,7 @@
 
     An upstream that restarts may have a new entry at once, while that of its previous
     incarnation stays for seconds until it expires. Otherwise half of all requests would
-    be sent as to ended processes, and be refused there.
+    be sent for ended incarnations, and be refused.
     """
 
     def age(entry: UpstreamEntry) -> tuple[int, int, int]:
--- a/packages/gateway/src/fuchsiahatch_gateway/held_requests.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/held_requests.py
@@ -98,12 +98,12 @@
     def apply(self, items: t.Mapping[str, "Item"]) -> None:
         """Apply the current records of the store."""
         current = self._decoder.decode_all(items)
-        held = {name for name, one in current.items() if one.held}
+        held = {name for name, record in current.items() if record.held}
         # Applied once per change: later crashes count against the request again.
         cleared = {
             name
-            for name, one in current.items()
-            if not one.held and self._records.get(name) != one
+            for name, record in current.items()
+            if not record.held and self._records.get(name) != record
         }
         self._items, self._records = dict(items), current
         self._requests.apply_stored(held, cleared)
@@ -153,8 +153,8 @@
         """Store that requests with a complete answer are no longer held."""
         outdated = [
             name
-            for name, one in self._records.items()
-            if one.held and self._requests.has_complete_answer(name)
+            for name, record in self._records.items()
+            if record.held and self._requests.has_complete_answer(name)
         ]
         for name in outdated:
             lease = await self._store.grant(HOLD_MS)
--- a/packages/gateway/src/fuchsiahatch_gateway/permit_issuer.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/permit_issuer.py
@@ -12,8 +12,8 @@
 #: that an upstream no longer limits its rate, so some requests must be sent.
 MIN_RATE_PER_S = 0.25
 #: Time after the first request for an upstream's permits in which this process issues
-#: only a share of them: the previous issuer may still issue permits to entries that
-#: don't know of the change yet.
+#: only a share of them: for as long, the previous issuer may still issue permits to
+#: entries that don't know of the change yet.
 WARM_UP_MS = 4_000
 WARM_UP_SHARE = 0.25
 #: Time without a permit request after which an upstream's state is dropped: it no
@@ -108,9 +108,9 @@
         meter = self._meters.get(instance)
         if meter is None or now_ms - meter.next_ms > IDLE_TIMEOUT_MS:
             self._meters = {
-                name: known
-                for name, known in self._meters.items()
-                if now_ms - known.next_ms <= IDLE_TIMEOUT_MS
+                name: active
+                for name, active in self._meters.items()
+                if now_ms - active.next_ms <= IDLE_TIMEOUT_MS
             }
             meter = _Meter(rate_per_s, stated_ms, now_ms, now_ms, now_ms)
             self._meters[instance] = meter
