--- a/tests/gateway/test_held_requests.py
+++ b/tests/gateway/test_held_requests.py
@@ -19,7 +19,7 @@
 from tests.gateway.sites import until
 from tests.loopback import run
 
-THREE_CRASHES = CrashNotice("f", ("a@1", "b@1", "c@1"))
+THREE = CrashNotice("f", ("a@1", "b@1", "c@1"))
 
 
 class Entry:
@@ -83,7 +83,7 @@
 
     def test_entries_that_start_or_missed_the_notice_learn_of_it(self):
         async def scenario(entries):
-            entries.all[0].requests.receive_notice(THREE_CRASHES)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: all(one.holds for one in entries.all))
             late = entries.start(3)
             entries.all.append(late)
@@ -92,12 +92,12 @@
 
         holds, stored = self.run_scenario(scenario)
         self.assertTrue(holds)
-        self.assertEqual(stored, HeldRecord(True, THREE_CRASHES.lives))
+        self.assertEqual(stored, HeldRecord(True, THREE.lives))
 
     def test_many_entries_that_counted_it_make_a_few_writes(self):
         async def scenario(entries):
             for one in entries.all:
-                one.requests.receive_notice(THREE_CRASHES)
+                one.requests.receive_notice(THREE)
             await until(lambda: entries.stored() is not None)
             await asyncio.sleep(1.5)
             return entries.store.calls.count("/-/kv-txn")
@@ -106,7 +106,7 @@
 
     def test_the_third_entry_writes_where_the_first_two_are_missing(self):
         async def scenario(entries):
-            entries.all[0].requests.receive_notice(THREE_CRASHES)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.stored() is not None)
 
         self.run_scenario(scenario, (MAX_WRITERS - 1,))
@@ -114,7 +114,7 @@
     def test_an_older_copy_of_the_store_loses_nothing(self):
         async def scenario(entries):
             copy = entries.store.copy()
-            entries.all[0].requests.receive_notice(THREE_CRASHES)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.stored() is not None)
             entries.store.restore(copy)
             self.assertIsNone(entries.stored())
@@ -125,7 +125,7 @@
     def test_an_outage_loses_nothing(self):
         async def scenario(entries):
             entries.store.faults.status = 503
-            entries.all[0].requests.receive_notice(THREE_CRASHES)
+            entries.all[0].requests.receive_notice(THREE)
             await asyncio.sleep(0.5)
             entries.store.faults.status = 0
             await until(lambda: entries.stored() is not None)
@@ -137,7 +137,7 @@
         async def scenario(entries):
             counted = entries.all[:2]
             for one in counted:
-                one.requests.receive_notice(THREE_CRASHES)
+                one.requests.receive_notice(THREE)
             await until(lambda: all(one.holds for one in entries.all))
             entries.all[2].requests.note_complete_answer("f")
             await until(lambda: not any(one.holds for one in entries.all))
@@ -149,7 +149,7 @@
 
     def test_crashes_after_a_clearance_count_again(self):
         async def scenario(entries):
-            entries.all[0].requests.receive_notice(THREE_CRASHES)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.all[2].holds)
             entries.all[2].requests.note_complete_answer("f")
             await until(lambda: not entries.all[0].holds)
@@ -162,7 +162,7 @@
 
     def test_the_hold_ends_with_its_lease(self):
         async def scenario(entries):
-            entries.all[0].requests.receive_notice(THREE_CRASHES)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.all[1].holds)
             (ttl_ms,) = entries.store.copy().ttls_ms.values()
             self.assertAlmostEqual(ttl_ms, HOLD_MS, delta=2_000)
@@ -180,7 +180,7 @@
             entries.store.put(HELD_PREFIX + "g", b"[]")
             await asyncio.sleep(0.3)
             self.assertFalse(any(one.holds for one in entries.all))
-            entries.all[0].requests.receive_notice(THREE_CRASHES)
+            entries.all[0].requests.receive_notice(THREE)
             await until(lambda: entries.store.get(HELD_PREFIX + "f") != b"{broken")
             return entries.stored()
 
