--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -196,14 +196,14 @@
         self, job: Job, upstream: "Upstream", outcome: Outcome
     ) -> None:
         if outcome.result is Result.ANSWERED:
-            self._crashing.note_whole(job.fingerprint)
+            self._crashing.note_complete_answer(job.fingerprint)
         elif outcome.closed_early:
             crashed = await self._crashes.examine(job.fingerprint, upstream)
             outcome.group_crashed = (
                 crashed and bool(upstream.group) and not outcome.events_relayed
             )
         elif outcome.result is Result.BROKEN:
-            self._crashes.note_silence(job.fingerprint, upstream)
+            self._crashes.note_unanswered(job.fingerprint, upstream)
 
     def _spend_retry(self, job: Job, outcome: Outcome) -> bool:
         # Without a connection nothing was sent, so the next attempt isn't a retry.
@@ -271,7 +271,7 @@
         if job.events is not None:
             # Agents report on engines, and all ranks of a group are late together.
             return None
-        return self._late.expect(upstream, job.match.route.objective_ms)
+        return self._late.expect_answer(upstream, job.match.route.objective_ms)
 
     def _could_move(self, job: Job) -> bool:
         # Streams only; any other request is nearly done.
--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -182,7 +182,7 @@
         rank = state.report.rank
         now_ms = self._clock.now_ms()
         self._peers[rank] = peer
-        self._silent.note_heard(rank, state.upstream, self._active_clock.active_ms)
+        self._silent.note_contact(rank, state.upstream, self._active_clock.active_ms)
         self._note_term_ack(rank, state.report.term, now_ms)
         self.switch.experts = self._local_agent.experts_per_layer
         self.switch.observe(self._add_known_experts(state.report), now_ms)
@@ -332,7 +332,7 @@
     def _start_switch(self, plan: "Plan", passes: "PassTiming") -> bool:
         """Start a switch to a planned map; return whether it was started."""
         # A standby whose agent is silent couldn't agree to a commit.
-        standby = self._silent.heard_behind(self._rank)
+        standby = self._silent.next_rank_with_agent(self._rank)
         if standby is None or self._stopping or not self._may_switch():
             return False
         ahead = self._hold_timing.passes_ahead(passes.pass_ms)
@@ -350,7 +350,7 @@
         if order.kind is OrderKind.HOLD:
             self._tasks.begin(self._apply_hold(order))
             return
-        speaker = self._silent.speaker(order.rank)
+        speaker = self._silent.direct_client(order.rank)
         if speaker is not None:
             # Only the standby's agent can agree to a commit.
             if not self._authority.is_sole_leader() or order.kind is OrderKind.COMMIT:
--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -93,7 +93,7 @@
         if upstream is None:
             self._check_permits(service)
             raise RefusedError("upstreams accept no more now", Code.RATE_REACHED)
-        upstream.own += 1
+        upstream.local_requests += 1
         return upstream
 
     def _check_permits(self, service: str) -> None:
@@ -130,7 +130,7 @@
         if not len(queue):
             upstream = self._fleet.choose(service, tried)
             if upstream is not None:
-                upstream.own += 1
+                upstream.local_requests += 1
                 return upstream
         upstream = await self._wait(queue, service, team, urgency, tried, wait_ms)
         if not self.is_usable(upstream):
@@ -155,7 +155,7 @@
 
     def release(self, upstream: "Upstream") -> None:
         """Free a slot and assign it to a waiting request."""
-        upstream.own -= 1
+        upstream.local_requests -= 1
         self.serve_waiting(upstream.entry.service)
 
     def serve_waiting(self, service: str | None = None) -> None:
@@ -177,7 +177,7 @@
             return True
         if upstream.entry.instance in waiter.tried:
             upstream = self._fleet.choose(service, waiter.tried) or upstream
-        upstream.own += 1
+        upstream.local_requests += 1
         waiter.future.set_result(upstream)
         return True
 
--- a/tests/gateway/test_delivery.py
+++ b/tests/gateway/test_delivery.py
@@ -371,7 +371,7 @@
                 writer.close()
                 await until(lambda: server.left, 0.4)
                 (record,) = site.entry.fleet.upstreams.values()
-                return record.own
+                return record.local_requests
 
         self.assertEqual(run(asks()), 0)
 
@@ -395,7 +395,7 @@
                 for writer in writers:
                     writer.close()
                 (record,) = site.entry.fleet.upstreams.values()
-                await until(lambda: record.own == 0)
+                await until(lambda: record.local_requests == 0)
                 return len(server.received)
 
         self.assertEqual(run(asks()), 6)
