--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -136,7 +136,7 @@
         # It began to leave while the connection was being opened, which may take the
         # whole connect timeout, and might end in the middle of the request.
         connection.abort()
-        return Outcome(Result.UNSENT, "the upstream no longer accepts requests")
+        return Outcome(Result.UNSENT, "the upstream has left")
     try:
         outcome = await _send_and_receive(exchange, connection, attempt)
     except AnswerBroken as fault:
@@ -200,7 +200,7 @@
             return head
         await connection.body()
         connection.expect_another()
-    raise AnswerBroken("received only answers to other requests")
+    raise AnswerBroken("only other requests' answers came")
 
 
 async def _limit_silence(work: t.Coroutine[t.Any, t.Any, T], attempt: Attempt) -> T:
--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -140,9 +140,9 @@
         try:
             request = decode_request(exchange)
         except ValueError as fault:
-            raise RequestError(f"invalid request header: {fault}") from fault
+            raise RequestError(f"a header can't be read: {fault}") from fault
         if not request.request_id:
-            raise RequestError("the request id is missing")
+            raise RequestError("the request has no id")
         match = self._routes.match(request)
         limit_ms = match.route.timeout_ms
         if request.deadline_ms is not None:
@@ -189,7 +189,7 @@
             return
         if upstream is not None:
             self._placer.release(upstream)
-        detail = "upstreams crashed while running this request"
+        detail = "upstreams have crashed under this request"
         raise RefusedError(detail, Code.CRASHES_UPSTREAMS, retry_after_ms=held_ms)
 
     async def _note_answer_or_crash(
--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -92,7 +92,7 @@
         upstream = self._fleet.choose(service, tried, only_unlimited=True)
         if upstream is None:
             self._check_permits(service)
-            raise RefusedError("upstreams accept no more now", Code.RATE_REACHED)
+            raise RefusedError("upstreams take no more now", Code.RATE_REACHED)
         upstream.local_requests += 1
         return upstream
 
@@ -100,7 +100,7 @@
         """Refuse at once if no upstream accepts a request before a permit is due."""
         permit_ms = self._fleet.permit_wait_ms(service)
         if permit_ms is not None:
-            detail = "no upstream accepts more requests now"
+            detail = "all upstreams take no more now"
             raise RefusedError(detail, Code.RATE_REACHED, retry_after_ms=permit_ms)
 
     async def _request_permit(self, upstream: "Upstream") -> bool:
@@ -136,9 +136,7 @@
         if not self.is_usable(upstream):
             # It began to leave after the slot was assigned.
             self.release(upstream)
-            raise RefusedError(
-                "the upstream no longer accepts requests", Code.NO_LIVE_UPSTREAM
-            )
+            raise RefusedError("the upstream has left", Code.NO_LIVE_UPSTREAM)
         return upstream
 
     def is_usable(self, upstream: "Upstream") -> bool:
@@ -217,5 +215,5 @@
     def _refuse(self, number: int) -> None:
         waiter = self._waiters.pop(number, None)
         if waiter is not None and not waiter.future.done():
-            fault = RefusedError("too many requests are waiting", Code.OVERLOADED)
+            fault = RefusedError("too many requests wait", Code.OVERLOADED)
             waiter.future.set_exception(fault)
--- a/packages/gateway/src/fuchsiahatch_gateway/routes.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/routes.py
@@ -114,7 +114,7 @@
         """
         configuration = self.configuration
         if configuration is None:
-            raise RefusedError("no configuration has been loaded yet", Code.NOT_FRESH)
+            raise RefusedError("no configuration is known yet", Code.NOT_FRESH)
         routes = self._by_host.get(request.host, ())
         route = next(
             (
--- a/tests/gateway/test_encoded_forms.py
+++ b/tests/gateway/test_encoded_forms.py
@@ -1,3 +1,5 @@
+import ast
+import inspect
 import json
 import types
 import typing as t
@@ -15,10 +17,18 @@
     encode_ticket,
 )
 from fuchsiahatch_experts.terms import TermRecord
-from fuchsiahatch_gateway import datagrams, leadership
+from fuchsiahatch_gateway import (
+    attempts,
+    datagrams,
+    delivery,
+    leadership,
+    placing,
+    routes,
+)
 from fuchsiahatch_gateway.engine_figures import EngineFigures, decode_engine_figures
 from fuchsiahatch_gateway.held_requests import HeldRecord, decode_held_record
 from fuchsiahatch_gateway.lookups import EntryRecord, decode_entry
+from fuchsiahatch_http1 import client
 from fuchsiahatch_placement.documents import Change, Document, write_document
 from fuchsiahatch_placement.rosters import Voter, change_roster
 from tests.golden import check_golden
@@ -52,6 +62,23 @@
     return form(*(sample(kinds[name]) for name in form.__struct_fields__))
 
 
+def texts(module):
+    """Return the texts in a module's code, without its doc comments."""
+    tree = ast.parse(inspect.getsource(module))
+    documented = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
+    docs = {
+        ast.get_docstring(node, clean=False)
+        for node in ast.walk(tree)
+        if isinstance(node, documented)
+    }
+    values = (node.value for node in ast.walk(tree) if isinstance(node, ast.Constant))
+    return sorted(
+        value
+        for value in values
+        if isinstance(value, str) and " " in value and value not in docs
+    )
+
+
 def messages():
     forms = t.get_args(datagrams.Message)
     return [
@@ -99,3 +126,9 @@
         names = {name: getattr(term, name) for name in TermRecord.__slots__}
         lines = [write_document(roster).decode(), json.dumps(names), text]
         check_golden(__file__, "records_and_tickets", lines)
+
+    def test_texts_of_errors_in_answers(self):
+        # Callers receive them; their length alone moved the times of a simulated day.
+        modules = (attempts, client, delivery, placing, routes)
+        lines = [text for module in modules for text in texts(module)]
+        check_golden(__file__, "answer_texts", lines)
