--- a/packages/gateway/src/fuchsiahatch_gateway/agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/agent.py
@@ -73,18 +73,18 @@
 
     def __init__(self, process: "Process") -> None:
         settings, clock = process.settings, process.clock
-        assert settings.beside is not None
+        assert settings.local_upstream is not None
         self._process = process
         self._clock = clock
         self._leader_items = ItemDecoder(decode_leader)
         self._leaders: dict[str, LeaderRecord] = {}
         self._figure_items = ItemDecoder(decode_engine_figures)
         self._figures: dict[str, EngineFigures] = {}
-        self._upstream_address = str(settings.beside)
+        self._upstream_address = str(settings.local_upstream)
         self.store = StoreClient(settings.store, ConnectionPool(clock))
         self._engines_pool = ConnectionPool(clock)
         self._entries = EntryPeers(self.store, clock)
-        self.upstream = ModelEngine(settings.beside, self._engines_pool)
+        self.upstream = ModelEngine(settings.local_upstream, self._engines_pool)
         self.health = StoreHealth()
         self.datagrams = DatagramPort(self._take_message)
         self.peer: Peer = (
@@ -313,7 +313,7 @@
 
     def _tell_figures(self) -> None:
         """Tell the leader of its engines' figures, where they are known."""
-        figures = self._figures.get(self._process.settings.beside_service)
+        figures = self._figures.get(self._process.settings.local_service)
         if figures is not None and self.leader is not None:
             self.leader.plans.learn(figures.engine, figures.gap_ms)
 
@@ -360,7 +360,7 @@
     async def _list_engines(self) -> list[str]:
         found = await self.store.read_all(UPSTREAMS_PREFIX)
         items = {item.key.removeprefix(UPSTREAMS_PREFIX): item for item in found.items}
-        service = self._process.settings.beside_service
+        service = self._process.settings.local_service
         entries = ItemDecoder(decode_upstream_entry).decode_all(items)
         return [
             str(entry.address)
--- a/packages/gateway/src/fuchsiahatch_gateway/datagrams.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/datagrams.py
@@ -10,7 +10,7 @@
 import msgspec
 from twisted.internet import protocol
 
-from fuchsiahatch_adapter.forms import reading
+from fuchsiahatch_adapter.forms import decoding
 from fuchsiahatch_adapter.node_settings import LAST_PORT
 from fuchsiahatch_core.events import Event, log_event
 from fuchsiahatch_core.exceptions import FormError
@@ -332,7 +332,7 @@
     FormError
         When it is none of ours.
     """
-    with reading("datagram"):
+    with decoding("datagram"):
         return _DECODER.decode(data)
 
 
--- a/packages/gateway/src/fuchsiahatch_gateway/entry.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry.py
@@ -6,7 +6,7 @@
 
 from twisted.internet import reactor
 
-from fuchsiahatch_adapter.lookup_calls import asks_ready, encode_lookup, lookup_zone
+from fuchsiahatch_adapter.lookup_calls import encode_lookup, is_ready_check, lookup_zone
 from fuchsiahatch_adapter.names import (
     CONFIGURATION_KEY,
     RATE_LIMIT,
@@ -303,7 +303,7 @@
         log_event(Event.STOPPED, busy=self.callers.busy)
 
     async def _answer_side_call(self, exchange: Exchange) -> None:
-        if asks_ready(exchange.target):
+        if is_ready_check(exchange.target):
             exchange.respond(200 if self.ready else 503)
             return
         zone = lookup_zone(exchange.target)
--- a/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
@@ -68,7 +68,7 @@
                 await asyncio.sleep(READ_MS / 1000)
 
     async def _read(self) -> None:
-        found = await self._store.read_all(ENTRIES_PREFIX, may_be_old=True)
+        found = await self._store.read_all(ENTRIES_PREFIX, allow_stale=True)
         items = {item.key.removeprefix(ENTRIES_PREFIX): item for item in found.items}
         entries = self._items.decode_all(items)
         self._registered = {node: entry.peer for node, entry in entries.items()}
--- a/packages/gateway/src/fuchsiahatch_gateway/fleet.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/fleet.py
@@ -307,7 +307,7 @@
         if known is None:
             now_ms = self._clock.now_ms()
             self.upstreams[instance] = Upstream(
-                entry, born_ms=entry.born_ms, seen_ms=now_ms, told=item.told
+                entry, born_ms=entry.born_ms, seen_ms=now_ms, told=item.change_order
             )
             log_event(Event.UPSTREAM_SEEN, upstream=instance, service=entry.service)
             return
@@ -324,7 +324,7 @@
             # leaves does so for the rest of its life, and gets no new request.
             entry = dataclasses.replace(entry, leaving=True)
         else:
-            known.told = item.told
+            known.told = item.change_order
         known.entry = entry
 
     def _begin_life(
--- a/packages/gateway/src/fuchsiahatch_gateway/item_copies.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/item_copies.py
@@ -86,7 +86,7 @@
     def _take(self, item: "Item") -> None:
         name = self._name(item)
         known = self.items.get(name)
-        if known is not None and known.told >= item.told:
+        if known is not None and known.change_order >= item.change_order:
             return
         if item.value is None:
             self._take_deletion(name)
--- a/packages/gateway/src/fuchsiahatch_gateway/leadership.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/leadership.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from fuchsiahatch_adapter.forms import read_json, reading
+from fuchsiahatch_adapter.forms import decoding, read_json
 from fuchsiahatch_adapter.store import (
     LeaseLostError,
     StoreClient,
@@ -95,7 +95,7 @@
     """
     what = f"leader of {group}"
     document = read_json(value, _LeaderDocument, what)
-    with reading(what):
+    with decoding(what):
         check_peer(document.peer)
     return document.peer, document.era
 
--- a/packages/gateway/src/fuchsiahatch_gateway/lookups.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/lookups.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from fuchsiahatch_adapter.forms import read_json, reading
+from fuchsiahatch_adapter.forms import decoding, read_json
 from fuchsiahatch_adapter.node_settings import parse_address
 from fuchsiahatch_gateway.datagrams import check_peer
 from fuchsiahatch_gateway.defaults import MAX_LOOKUP_ENTRIES
@@ -47,7 +47,7 @@
     """
     what = f"registration of {node}"
     record = read_json(value, EntryRecord, what)
-    with reading(what):
+    with decoding(what):
         parse_address(record.callers)
         check_peer(record.peer)
     return record
--- a/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
@@ -370,7 +370,7 @@
         return await upstream.disarm(order.version, order.epoch, wait_ms)
     if order.kind is OrderKind.HOLD:
         return await upstream.hold(order.epoch, order.step, wait_ms)
-    return await upstream.let_go(order.epoch, order.step, wait_ms)
+    return await upstream.release(order.epoch, order.step, wait_ms)
 
 
 def _now_ms() -> float:
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -5,7 +5,7 @@
 
 from fuchsiahatch_adapter.caller_requests import decode_request, upstream_headers
 from fuchsiahatch_adapter.configuration import Kind, decode_configuration
-from fuchsiahatch_adapter.lookup_calls import asks_ready, encode_lookup, lookup_zone
+from fuchsiahatch_adapter.lookup_calls import encode_lookup, is_ready_check, lookup_zone
 from fuchsiahatch_adapter.node_settings import read_node_settings
 from fuchsiahatch_adapter.upstreams import decode_report, decode_upstream_entry
 from fuchsiahatch_core.exceptions import FormError, SettingsError
@@ -69,12 +69,12 @@
 
     def test_fields_say_what_they_hold(self):
         settings = self.read(json.dumps(SETTINGS))
-        self.assertEqual(str(settings.beside), "10.1.0.43:8228")
+        self.assertEqual(str(settings.local_upstream), "10.1.0.43:8228")
         self.assertIsNone(settings.callers)
         self.assertEqual(settings.bounds.stop_grace_ms, 8_000)
         self.assertEqual(settings.link_bytes_per_s, 1_000_000)
         self.assertEqual(str(settings.store.address), "10.200.1.7:8223")
-        self.assertEqual(settings.store.least_lease_ms, 1_000)
+        self.assertEqual(settings.store.min_lease_ms, 1_000)
         self.assertEqual(settings.store.history_ms, 20_000)
 
     def test_what_is_wrong_is_named(self):
@@ -195,7 +195,7 @@
         self.assertEqual(lookup_zone(b"/-/resolve?name=x&zone=kl-a"), "kl-a")
         self.assertEqual(lookup_zone(b"/-/resolve"), "")
         self.assertIsNone(lookup_zone(b"/-/ready"))
-        self.assertTrue(asks_ready(b"/-/ready?x=1"))
+        self.assertTrue(is_ready_check(b"/-/ready?x=1"))
         self.assertEqual(
             json.loads(encode_lookup(["10.0.0.1:80"], 2)),
             {"addresses": ["10.0.0.1:80"], "ttlS": 2},
