--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -67,7 +67,7 @@
             path.write_text(text, "utf-8")
             return read_node_settings(path)
 
-    def test_fields_say_what_they_hold(self):
+    def test_fields_are_decoded(self):
         settings = self.read(json.dumps(SETTINGS))
         self.assertEqual(str(settings.local_upstream), "10.1.0.43:8228")
         self.assertIsNone(settings.callers)
@@ -77,7 +77,7 @@
         self.assertEqual(settings.store.min_lease_ms, 1_000)
         self.assertEqual(settings.store.history_ms, 20_000)
 
-    def test_what_is_wrong_is_named(self):
+    def test_the_error_names_the_fault(self):
         without = {name: SETTINGS[name] for name in SETTINGS if name != "zone"}
         for text, word in (
             (json.dumps(without), "zone"),
@@ -98,7 +98,7 @@
         }
         return decode_configuration(json.dumps({**document, **changes}).encode())
 
-    def test_a_route(self):
+    def test_a_route_is_decoded(self):
         (route,) = self.decode().routes
         self.assertIs(route.kind, Kind.STREAM)
         self.assertTrue(route.repeatable)
@@ -117,24 +117,24 @@
             (decoded,) = self.decode(routes=[route]).routes
             self.assertEqual(decoded.repeatable, repeatable, (kind, resumable))
 
-    def test_keys_and_no_keys(self):
+    def test_teams_are_found_by_key_if_there_are_any(self):
         self.assertEqual(self.decode().teams["k2"].name, "t")
         self.assertIsNone(self.decode(tenants=None).teams)
 
-    def test_an_unknown_kind_is_no_configuration(self):
+    def test_an_unknown_kind_of_route_is_rejected(self):
         with self.assertRaises(FormError):
             self.decode(routes=[{**ROUTE, "kind": "else"}])
 
 
 class TestUpstreams(unittest.TestCase):
-    def test_an_entry(self):
+    def test_an_entry_is_decoded(self):
         value = make_upstream_entry("a", "10.0.0.1:80", state="draining", born=17)
         entry = decode_upstream_entry("i-1", json.dumps(value).encode())
         self.assertTrue(entry.leaving)
         self.assertEqual(str(entry.address), "10.0.0.1:80")
         self.assertEqual(entry.born_ms, 17)
 
-    def test_a_report_of_a_rank(self):
+    def test_a_report_of_a_rank_is_decoded(self):
         report = decode_report(
             {
                 "queued": 1,
@@ -153,13 +153,13 @@
         self.assertEqual((report.rank, report.ranks, report.epoch), (5, 8, 2))
         self.assertEqual((report.armed, report.held), (Armed(5, 815), 815))
 
-    def test_a_report_without_a_group(self):
+    def test_a_report_without_a_group_is_decoded(self):
         report = decode_report({"queued": 0, "running": 0})
         self.assertEqual((report.group, report.armed, report.held), ("", None, None))
 
 
 class TestRequests(unittest.TestCase):
-    def test_what_a_callers_headers_say(self):
+    def test_a_callers_headers_are_decoded(self):
         request = decode_request(
             FakeExchange(
                 host="H.example:80",
@@ -175,10 +175,10 @@
         self.assertEqual((request.prompt_tokens, request.answer_tokens), (1_460, 80))
         self.assertEqual(request.prompt_parts, ("5c1e", "91bd"))
 
-    def test_another_scheme_is_no_key(self):
+    def test_a_key_of_another_scheme_is_ignored(self):
         self.assertEqual(decode_request(FakeExchange(authorization="Basic x")).key, "")
 
-    def test_a_resumed_stream_names_our_last_event(self):
+    def test_a_resumed_stream_continues_after_the_last_event_received(self):
         exchange = FakeExchange(last_event_id="3", x_other="1", connection="close")
         headers = dict(upstream_headers(exchange, "i-1", "t", 0, b"9"))
         self.assertEqual(headers[b"last-event-id"], b"9")
@@ -191,7 +191,7 @@
 
 
 class TestLookups(unittest.TestCase):
-    def test_a_lookup_and_the_question_whether_it_is_ready(self):
+    def test_lookups_and_readiness_checks(self):
         self.assertEqual(lookup_zone(b"/-/resolve?name=x&zone=kl-a"), "kl-a")
         self.assertEqual(lookup_zone(b"/-/resolve"), "")
         self.assertIsNone(lookup_zone(b"/-/ready"))
--- a/tests/adapter/test_forms.py
+++ b/tests/adapter/test_forms.py
@@ -73,7 +73,7 @@
 
 
 def decode_or_refuse(decode_one, value):
-    """Decode; return None where it is refused with the documented error."""
+    """Decode a value; return None when it is rejected by a `FormError`."""
     try:
         return decode_one(value)
     except FormError:
@@ -81,8 +81,8 @@
 
 
 class TestAnyBytes(unittest.TestCase):
-    # Requests stop at an entry for good: somebody wrote an item that raised an error
-    # which nobody caught, and the task that follows the store ended.
+    # An item in the store raised an undocumented error. It ended the task that follows
+    # the store, and the entry stopped serving requests for good.
 
     @given(st.sampled_from(sorted(DECODERS)), st.binary(max_size=64))
     def test_any_bytes(self, name, value):
@@ -112,7 +112,7 @@
         decode_or_refuse(decode, data)
 
     @given(st.lists(documents, max_size=9), st.integers(0, 4))
-    def test_any_datagram_of_our_form(self, fields, kind):
+    def test_any_fields_in_a_datagram(self, fields, kind):
         try:
             data = msgspec.msgpack.encode([kind, *fields])
         except OverflowError:
@@ -121,20 +121,20 @@
 
 
 class TestUpstreamEntries(unittest.TestCase):
-    def assert_names_nobody(self, **changes):
+    def assert_rejected(self, **changes):
         document = {**ENTRY, **changes}
         with self.assertRaises(FormError, msg=str(changes)):
             decode_upstream_entry("i-1", encode(document))
 
-    def test_a_field_that_is_missing(self):
-        # A request reaches somebody who is no upstream: the entry of another program
-        # was believed where it happened to have the fields that are used.
+    def test_a_missing_field_is_rejected(self):
+        # An entry of another program was accepted because it had the fields that are
+        # used, and requests were sent to an address that is no upstream.
         for field in ENTRY.keys() - {"born"}:
             short = {name: ENTRY[name] for name in ENTRY if name != field}
             with self.assertRaises(FormError, msg=field):
                 decode_upstream_entry("i-1", encode(short))
 
-    def test_a_field_of_another_type(self):
+    def test_a_field_of_another_type_is_rejected(self):
         for changes in (
             {"address": 5},
             {"address": "10.0.0.1"},
@@ -160,13 +160,13 @@
             {"born": 1.5},
             {"born": None},
         ):
-            self.assert_names_nobody(**changes)
+            self.assert_rejected(**changes)
 
-    def test_a_field_that_is_new(self):
+    def test_an_unknown_field_is_ignored(self):
         entry = decode_upstream_entry("i-1", encode({**ENTRY, "stage": "both"}))
         self.assertEqual(entry.places, 6)
 
-    def test_one_bad_item_leaves_the_others(self):
+    def test_a_malformed_item_does_not_affect_the_others(self):
         decoder = ItemDecoder(decode_upstream_entry)
         items = {
             "a": Item("servers/a", encode(ENTRY), 1, 1),
@@ -175,18 +175,18 @@
         }
         self.assertEqual(list(decoder.decode_all(items)), ["a"])
         self.assertEqual(decoder.unreadable, 2)
-        mended = {**items, "b": Item("servers/b", encode(ENTRY), 9, 2)}
-        self.assertEqual(sorted(decoder.decode_all(mended)), ["a", "b"])
+        corrected = {**items, "b": Item("servers/b", encode(ENTRY), 9, 2)}
+        self.assertEqual(sorted(decoder.decode_all(corrected)), ["a", "b"])
         self.assertEqual(decoder.unreadable, 2)
 
 
 class TestDatagramFields(unittest.TestCase):
-    def test_figures_that_no_choice_could_be_made_with(self):
-        # Every request fails with an internal error: a load report's pace was a text,
-        # and upstreams were compared by it.
+    def test_load_figures_of_invalid_type_or_range_are_rejected(self):
+        # With a string as a load report's pace, comparing upstreams raised an error,
+        # and every request failed with an internal error.
         whole = [0, "10.0.0.1:80", 1, 2, 1.5, True, "g", 65.5, 7]
         self.assertEqual(decode(msgspec.msgpack.encode(whole)).pace, 1.5)
-        for at, wrong in (
+        for index, wrong in (
             (1, 5),
             (2, -1),
             (3, "2"),
@@ -199,8 +199,8 @@
             (7, float("nan")),
             (7, -0.5),
         ):
-            changed = [*whole[:at], wrong, *whole[at + 1 :]]
-            with self.assertRaises(FormError, msg=f"{at}: {wrong}"):
+            changed = [*whole[:index], wrong, *whole[index + 1 :]]
+            with self.assertRaises(FormError, msg=f"{index}: {wrong}"):
                 decode(msgspec.msgpack.encode(changed))
 
 
--- a/tests/adapter/test_json_calls.py
+++ b/tests/adapter/test_json_calls.py
@@ -3,9 +3,9 @@
 from unittest import mock
 
 from fuchsiahatch_adapter import json_calls
-from fuchsiahatch_adapter.json_calls import SILENCE_MS
+from fuchsiahatch_adapter.json_calls import STALL_TIMEOUT_MS
 from fuchsiahatch_adapter.node_settings import StoreAccess, parse_address
-from fuchsiahatch_adapter.store import CALL_MS, RangeRead, StoreClient
+from fuchsiahatch_adapter.store import CALL_TIMEOUT_MS, RangeRead, StoreClient
 from fuchsiahatch_core.clock import Clock
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.exceptions import (
@@ -19,7 +19,7 @@
 
 
 class Served:
-    """The stand-in of the store with a client, for the time of a context."""
+    """Context manager with a simulated store and a client of it."""
 
     async def __aenter__(self):
         self.store = FleetStore()
@@ -32,17 +32,17 @@
         await self.store.close()
 
     async def restore(self, copy):
-        """Let the store come back from a copy, and the client hear of it."""
+        """Restore the store from a copy, and have the client receive the new era."""
         self.store.restore(copy)
-        # The connections that it kept are reset.
+        # Wait until the client's idle connections are reset.
         await asyncio.sleep(0.02)
         await self.client.ping()
 
 
 class TestUnanswered(unittest.TestCase):
-    def test_a_read_tells_how_much_had_come(self):
-        # On call, a read that was cut off in its middle looked like a write that the
-        # store had not answered.
+    def test_an_unanswered_read_reports_how_much_was_received(self):
+        # Operators couldn't tell a read that was cut off midway from a write that the
+        # store hadn't answered.
         async def read():
             async with Served() as served:
                 served.store.put("a", b"x" * 90_000)
@@ -55,7 +55,7 @@
         self.assertEqual(fault.result, Code.UNANSWERED_READ)
         self.assertRegex(fault.detail, r"after \d+ ms and 8192 of 120\d\d\d bytes")
 
-    def test_a_write_may_have_been_done(self):
+    def test_an_unanswered_write_is_ambiguous(self):
         async def write():
             async with Served() as served:
                 served.store.faults.lose_writes = True
@@ -67,8 +67,9 @@
 
 
 class TestCounts(unittest.TestCase):
-    def test_calls_are_counted_by_what_they_ask_for(self):
-        # The dearest price of a large day is for calls, and nobody could say whose.
+    def test_calls_are_counted_by_operation_and_prefix(self):
+        # Calls are the largest cost of a busy day; without counters by operation, it
+        # couldn't be told which ones.
         async def ask():
             async with Served() as served:
                 await served.client.read_all("a/")
@@ -83,51 +84,52 @@
 
 
 class TestLongAnswers(unittest.TestCase):
-    """Answers that grow with the deployment come whole, however slow the link.
+    """Answers whose size grows with the deployment complete on slow links.
 
-    An agent that reads a configuration of half a megabyte over a link of 4 Mbit/s had
-    no whole answer within a call's 0.8 s, asked again from the start, and so for ever.
+    A configuration of half a megabyte over a link of 4 Mbit/s takes longer than a
+    call's 0.8 s. Agents cut the answer off and requested it again from the start, for
+    ever.
     """
 
-    def test_an_answer_that_goes_on_is_waited_for(self):
+    def test_an_answer_that_makes_progress_may_exceed_the_timeout(self):
         async def read():
             async with Served() as served:
                 served.store.put("a", b"x" * 75_000)
                 served.store.faults.bytes_per_s = 50_000
-                began = LOOP.time()
+                started_s = LOOP.time()
                 item = await served.client.get("a")
-                return len(item.value), LOOP.time() - began
+                return len(item.value), LOOP.time() - started_s
 
         size, took_s = run(read())
         self.assertEqual(size, 75_000)
-        self.assertGreater(took_s, 2 * CALL_MS / 1000)
+        self.assertGreater(took_s, 2 * CALL_TIMEOUT_MS / 1000)
 
-    def test_one_that_stops_midway_is_given_up_behind_its_silence(self):
+    def test_an_answer_that_stalls_is_abandoned_after_the_stall_timeout(self):
         async def read():
             async with Served() as served:
                 served.store.put("a", b"x" * 75_000)
                 served.store.faults.silent_behind_bytes = 8_192
-                began = LOOP.time()
+                started_s = LOOP.time()
                 with self.assertRaises(UnansweredReadError):
                     await served.client.get("a")
-                return LOOP.time() - began
+                return LOOP.time() - started_s
 
-        self.assertLess(run(read()), 2 * SILENCE_MS / 1000)
+        self.assertLess(run(read()), 2 * STALL_TIMEOUT_MS / 1000)
 
-    def test_one_that_goes_on_for_ever_is_given_up(self):
+    def test_an_endless_answer_is_abandoned(self):
         async def read():
             async with Served() as served:
                 served.store.put("a", b"x" * 600_000)
                 served.store.faults.bytes_per_s = 50_000
-                with mock.patch.object(json_calls, "LONGEST_MS", 1_000):
+                with mock.patch.object(json_calls, "MAX_ANSWER_MS", 1_000):
                     with self.assertRaises(UnansweredReadError):
                         await served.client.get("a")
 
         run(read())
 
-    def test_a_read_of_many_pages_goes_on_where_it_failed(self):
-        # A process that starts on a link that loses one call in five never reads all
-        # twelve pages of a fleet in a row, and begins anew each time.
+    def test_a_read_of_many_pages_resumes_at_the_failed_page(self):
+        # On a link that loses one call in five, a starting process never reads all
+        # twelve pages of a fleet in a row: a read that starts over never completes.
         async def read():
             async with Served() as served:
                 for number in range(12 * PAGE_ITEMS):
@@ -141,8 +143,8 @@
                     except UnsentError:
                         failures += 1
 
-        found, failures, calls = run(read())
-        self.assertEqual(len(found.items), 12 * PAGE_ITEMS)
-        self.assertEqual(len({item.key for item in found.items}), 12 * PAGE_ITEMS)
+        result, failures, calls = run(read())
+        self.assertEqual(len(result.items), 12 * PAGE_ITEMS)
+        self.assertEqual(len({item.key for item in result.items}), 12 * PAGE_ITEMS)
         self.assertGreaterEqual(failures, 2)
         self.assertLessEqual(len(calls), 12 + failures)
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -58,8 +58,8 @@
                 for era in (4, 3, None, 4, 6):
                     served.store.era = era
                     await served.client.ping()
-                served.client._note_era(b"nan")
-                served.client._note_era(b"-1")
+                served.client._update_era(b"nan")
+                served.client._update_era(b"-1")
                 return restored, served.client.era
 
         self.assertEqual(run(read()), ([6], 6))
