--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -189,7 +189,7 @@
             # A refusal before the request was read names no request.
             return head
         await connection.body()
-        connection.expect_another()
+        connection.expect_next_answer()
     raise AnswerBroken("only other requests' answers came")
 
 
--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -356,7 +356,7 @@
                 detail=fault.detail,
                 version=self._version(),
             )
-        if exchange.gone:
+        if exchange.caller_disconnected:
             return
         if exchange.started:
             # Half an answer must not look whole.
--- a/packages/gateway/src/fuchsiahatch_gateway/entry.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry.py
@@ -406,4 +406,4 @@
             self.datagrams.send(notice, peer)
 
     def _drop_connections(self, entry: "UpstreamEntry") -> None:
-        self.pool.forget(entry.address.ip, entry.address.port)
+        self.pool.close_idle(entry.address.ip, entry.address.port)
--- a/packages/http1/src/fuchsiahatch_http1/client.py
+++ b/packages/http1/src/fuchsiahatch_http1/client.py
@@ -168,7 +168,7 @@
             pieces.append(piece)
         return b"".join(pieces)
 
-    def expect_another(self) -> None:
+    def expect_next_answer(self) -> None:
         """Read on for the answer to the same call, after one that was a stranger's.
 
         A server may put a late second answer where ours is due. It is read to its end
@@ -305,7 +305,7 @@
         connection.make_idle(self._clock.now_ms())
         self._idle.setdefault((ip, port), []).append(connection)
 
-    def forget(self, ip: str, port: int) -> None:
+    def close_idle(self, ip: str, port: int) -> None:
         """Close the idle connections to a server that is gone."""
         for connection in self._idle.pop((ip, port), []):
             connection.abort()
--- a/packages/http1/src/fuchsiahatch_http1/server.py
+++ b/packages/http1/src/fuchsiahatch_http1/server.py
@@ -60,7 +60,7 @@
         self.started = False
 
     @property
-    def gone(self) -> bool:
+    def caller_disconnected(self) -> bool:
         """Whether the caller has closed the connection."""
         return self._connection.lost
 
--- a/tests/gateway/delivery_model.py
+++ b/tests/gateway/delivery_model.py
@@ -83,7 +83,7 @@
             (b"authorization", b"Token " + KEY.encode()),
         ]
         self.started = False
-        self.gone = False
+        self.caller_disconnected = False
         self.finished = False
         self.aborted = False
         self.status = 0
@@ -135,7 +135,7 @@
         routes.apply(orjson.dumps(make_configuration(1, ROUTES)))
         self.pool = PlayedPool(self, self.clock)
         self.fleet = Fleet("kl-a", self.clock, rng)
-        self.fleet.on_gone = lambda entry: self.pool.forget(
+        self.fleet.on_gone = lambda entry: self.pool.close_idle(
             entry.address.ip, entry.address.port
         )
         self.placer = Placer(self.fleet, self.clock)
@@ -221,7 +221,7 @@
         if work.done():
             work.result()
             return
-        exchange.gone = True
+        exchange.caller_disconnected = True
         work.cancel()
         await asyncio.wait({work})
         if ask.leaves_ms is None:
@@ -262,7 +262,7 @@
             self.faults.append(f"{name} ran {len(ran)} times")
         if len(ran) > 3:
             self.faults.append(f"{name} ran at more upstreams than its route allows")
-        if exchange.gone:
+        if exchange.caller_disconnected:
             return
         if exchange.status in PROMISES and ran:
             self.faults.append(f"{name} got {exchange.status} and has run")
@@ -276,7 +276,7 @@
     def _check_patience(self, exchange, ends_ms):
         """A silent upstream is given up only for another one."""
         runs = [run for run in self.runs if run.request_id == exchange.request_id]
-        if exchange.gone or not runs:
+        if exchange.caller_disconnected or not runs:
             return
         if runs[-1].spoiled or runs[-1].act is Act.UNSIGNED:
             return
--- a/tests/gateway/test_delivery.py
+++ b/tests/gateway/test_delivery.py
@@ -432,7 +432,7 @@
             gone = upstream(answers())
             async with Site(gone, upstream(answers())) as site:
                 await gone.close()
-                site.entry.pool.forget("127.0.0.1", gone.port)
+                site.entry.pool.close_idle("127.0.0.1", gone.port)
                 return [(await site.ask("/hold/")).status for _ in range(6)]
 
         self.assertEqual(set(run(asks())), {200})
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -158,7 +158,7 @@
             try:
                 await asyncio.sleep(30)
             finally:
-                ended.append(exchange.gone)
+                ended.append(exchange.caller_disconnected)
 
         async def call():
             async with Served(waits) as one:
