--- a/packages/platform/src/fuchsiahatch_platform/__init__.py
+++ b/packages/platform/src/fuchsiahatch_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform services."""
+"""Clients of the platform's services."""
--- a/packages/platform/src/fuchsiahatch_platform/budget.py
+++ b/packages/platform/src/fuchsiahatch_platform/budget.py
@@ -1,4 +1,4 @@
-"""The calls that one process may make to the key-value service, and their count."""
+"""Rate limit and counters of a process's calls to the key-value service."""
 
 import collections
 import contextlib
@@ -8,14 +8,14 @@
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.exceptions import UnsentError
 
-#: Calls that one process may make in a second over a longer time.
+#: Sustained rate of calls of one process.
 CALLS_PER_SECOND = 20.0
-#: Calls that it may make at once after a quiet time.
+#: Calls that a process may make at once after an idle period.
 CALL_BURST = 60
 
 
 class CallBudget:
-    """Counts each call and each waiting watch, and refuses what is over the rate.
+    """Token bucket that counts calls and open watches, and refuses excess calls.
 
     Parameters
     ----------
@@ -28,13 +28,14 @@
     calls : collections.Counter of str
         Calls made so far, by kind; a watch counts once when it is opened.
     refused : int
+        Calls refused so far.
     waiting : int
-        Watches open now.
+        Number of open watches.
 
     Notes
     -----
-    The service counts calls and its rates grow more slowly than the fleet: a
-    loop gone wild in one process would use up what all the others need.
+    The service limits calls, and its limits grow more slowly than the fleet: a
+    runaway loop in one process would use up the calls of all other processes.
 
     .. versionadded:: 0.1
     """
@@ -43,8 +44,8 @@
         "_burst",
         "_calls_per_second",
         "_clock",
-        "_filled_ms",
-        "_left",
+        "_refilled_ms",
+        "_tokens",
         "calls",
         "refused",
         "waiting",
@@ -59,8 +60,8 @@
         self._clock = clock
         self._calls_per_second = calls_per_second
         self._burst = burst
-        self._left = float(burst)
-        self._filled_ms = clock.now_ms()
+        self._tokens = float(burst)
+        self._refilled_ms = clock.now_ms()
         self.calls: collections.Counter[str] = collections.Counter()
         self.refused = 0
         self.waiting = 0
@@ -71,23 +72,23 @@
         Raises
         ------
         UnsentError
-            With CALL_BUDGET_SPENT when the call may not be made now.
+            With CALL_BUDGET_SPENT when the call exceeds the rate.
         """
-        self._fill()
-        if self._left < 1:
+        self._refill()
+        if self._tokens < 1:
             self.refused += 1
-            retry_after_ms = int((1 - self._left) / self._calls_per_second * 1000) + 1
+            retry_after_ms = int((1 - self._tokens) / self._calls_per_second * 1000) + 1
             raise UnsentError(
                 f"{kind}: the call budget of this process is spent",
                 Code.CALL_BUDGET_SPENT,
                 retry_after_ms,
             )
-        self._left -= 1
+        self._tokens -= 1
         self.calls[kind] += 1
 
     @contextlib.contextmanager
     def waiting_watch(self) -> t.Iterator[None]:
-        """Count a watch as open, after spending a call on it."""
+        """Count a watch as open in the context, after spending a call on it."""
         self.spend("watch")
         self.waiting += 1
         try:
@@ -95,8 +96,8 @@
         finally:
             self.waiting -= 1
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now_ms = self._clock.now_ms()
-        gained = (now_ms - self._filled_ms) / 1000 * self._calls_per_second
-        self._left = min(self._burst, self._left + gained)
-        self._filled_ms = now_ms
+        refilled = (now_ms - self._refilled_ms) / 1000 * self._calls_per_second
+        self._tokens = min(self._burst, self._tokens + refilled)
+        self._refilled_ms = now_ms
--- a/packages/platform/src/fuchsiahatch_platform/host_list.py
+++ b/packages/platform/src/fuchsiahatch_platform/host_list.py
@@ -1,4 +1,4 @@
-"""Client of the host list, over the published Consul health interface."""
+"""Client of the host list, over Consul's health API."""
 
 import dataclasses
 import typing as t
@@ -12,20 +12,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedHost:
-    """A host as the lagging list shows it.
+    """A host in the host list, which may be stale.
 
     Attributes
     ----------
     host, zone, region : str
-        Its name, availability zone and region.
+        Name, availability zone and region.
     role : str
         ``entry`` or ``agent``.
     rpc_address, http_address : str
-        ``ip:port`` of our process there.
+        ``ip:port`` of the load balancer process on the host.
     offers : tuple of str
-        ``name@version`` of what its upstream serves; empty for an entry.
+        ``name@version`` of each offer of its upstream; empty for an entry.
     leaving : bool
-        Whether the list marks it as leaving.
+        Whether any of its health checks isn't passing.
     """
 
     host: str
@@ -53,7 +53,7 @@
         self._caller = caller
 
     async def read(self) -> list[ListedHost]:
-        """Return all hosts now on the list.
+        """Return all hosts in the list.
 
         Raises
         ------
--- a/packages/platform/src/fuchsiahatch_platform/http.py
+++ b/packages/platform/src/fuchsiahatch_platform/http.py
@@ -1,4 +1,4 @@
-"""JSON calls to platform services, with time limits and typed errors."""
+"""JSON calls to platform services, with timeouts and typed errors."""
 
 import asyncio
 import contextlib
@@ -19,20 +19,20 @@
     from twisted.web.client import URI
     from twisted.web.iweb import IResponse
 
-_STATUS_CLIENT_FAULT = 400
-# A value of a megabyte, in base64 and with its JSON around it.
+_BAD_REQUEST = 400
+# Holds a value of a megabyte, in base64 and with its JSON envelope.
 _MAX_LINE_BYTES = 2_097_152
-_NEVER_CONNECTED = (error.ConnectError, error.TimeoutError)
+_CONNECT_ERRORS = (error.ConnectError, error.TimeoutError)
 
 
 @implementer(IAgentEndpointFactory)
-class NumberedEndpoints:
-    """Connects to IP numbers without a resolver, which would start threads.
+class IPv4Endpoints:
+    """Connects to IPv4 addresses without a resolver, which would start threads.
 
     Parameters
     ----------
     timeout_ms : int
-        Time that connecting may take.
+        Timeout for establishing a connection.
 
     Notes
     -----
@@ -45,23 +45,23 @@
         self._timeout_s = timeout_ms / 1000
 
     def endpointForURI(self, uri: "URI") -> endpoints.TCP4ClientEndpoint:
-        """Return the endpoint of a URI whose host is an IP number."""
+        """Return the endpoint of a URI whose host is an IPv4 address."""
         host = uri.host.decode()
         return endpoints.TCP4ClientEndpoint(reactor, host, uri.port, self._timeout_s)
 
 
 class HttpCaller:
-    """Keeps one connection pool and makes JSON calls over it.
+    """Makes JSON calls over a connection pool.
 
     Parameters
     ----------
     timeout_ms : int
-        Time that one call may take.
+        Default timeout of a call.
 
     Attributes
     ----------
     sent_bytes, received_bytes : int
-        Bodies so far, without HTTP's own heads.
+        Total size of bodies so far, without HTTP headers.
 
     Notes
     -----
@@ -74,9 +74,9 @@
         self._timeout_ms = timeout_ms
         self._pool = HTTPConnectionPool(reactor)
         self._pool.maxPersistentPerHost = 8
-        # A retry inside the pool would repeat a write whose answer was lost.
+        # A retry by the pool would repeat a write whose answer was lost.
         self._pool.retryAutomatically = False
-        factory = NumberedEndpoints(timeout_ms)
+        factory = IPv4Endpoints(timeout_ms)
         self._agent = Agent.usingEndpointFactory(reactor, factory, self._pool)
         self.sent_bytes = 0
         self.received_bytes = 0
@@ -88,14 +88,14 @@
         body: t.Any = None,
         timeout_ms: int | None = None,
     ) -> t.Any:
-        """Make one call and return the decoded JSON answer.
+        """Make a call and return the decoded JSON answer.
 
         Raises
         ------
         UnsentError
-            When no connection came about, so the call had no effect.
+            When no connection was established, so the call had no effect.
         PlatformError
-            When there is no answer in time, or not a usable one.
+            When there is no usable answer within the timeout.
         """
         limit_ms = self._timeout_ms if timeout_ms is None else timeout_ms
         try:
@@ -114,14 +114,16 @@
         body: t.Any = None,
         idle_ms: int | None = None,
     ) -> t.AsyncIterator[t.Any]:
-        """Make one call and yield its answer's JSON lines until it ends or breaks.
+        """Make a call and yield the JSON lines of its answer until the answer ends.
+
+        An answer that is cut off ends like a complete one.
 
         Parameters
         ----------
         method, url : str
         body : object, optional
         idle_ms : int, optional
-            Silence after which the answer is taken for ended.
+            Pause after which the answer counts as ended.
 
         Raises
         ------
@@ -132,9 +134,11 @@
             response = await asyncio.wait_for(
                 self._request(method, url, body), self._timeout_ms / 1000
             )
-            if response.code >= _STATUS_CLIENT_FAULT:
+            if response.code >= _BAD_REQUEST:
                 await self._read_whole(method, url, response)
-            async with contextlib.aclosing(self._lines_of(response, idle_ms)) as lines:
+            async with contextlib.aclosing(
+                self._iterate_lines(response, idle_ms)
+            ) as lines:
                 async for line in lines:
                     yield json.loads(line)
         except PlatformError:
@@ -143,7 +147,7 @@
             raise _platform_error(method, url, fault) from fault
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         closing = self._pool.closeCachedConnections()
         await closing.asFuture(asyncio.get_running_loop())
 
@@ -169,28 +173,28 @@
         loop = asyncio.get_running_loop()
         content = await treq.content(response).asFuture(loop)
         self.received_bytes += len(content)
-        if response.code >= _STATUS_CLIENT_FAULT:
+        if response.code >= _BAD_REQUEST:
             detail = content[:500].decode("utf-8", "replace")
             raise PlatformError(f"{method} {url}: status {response.code}: {detail}")
         return json.loads(content) if content else None
 
-    async def _lines_of(
+    async def _iterate_lines(
         self, response: "IResponse", idle_ms: int | None
     ) -> t.AsyncIterator[bytes]:
-        lines = _Lines()
+        lines = _LineQueue()
         response.deliverBody(lines)
         try:
             while (line := await lines.next(idle_ms)) is not None:
                 self.received_bytes += len(line)
                 yield line
         finally:
-            # Without this a watch that nobody reads stays open at the service
-            # and is counted there for ever.
+            # Otherwise an abandoned watch would stay open at the service and count
+            # there for ever.
             lines.abort()
 
 
-class _Lines(basic.LineOnlyReceiver):
-    """Puts the lines of an answer on a queue; None ends it, however it ended."""
+class _LineQueue(basic.LineOnlyReceiver):
+    """Queues the lines of an answer; None marks its end, clean or not."""
 
     delimiter = b"\n"
     MAX_LENGTH = _MAX_LINE_BYTES
@@ -218,6 +222,6 @@
 
 def _platform_error(method: str, url: str, fault: Exception) -> PlatformError:
     detail = f"{method} {url}: {type(fault).__name__}"
-    if isinstance(fault, _NEVER_CONNECTED):
+    if isinstance(fault, _CONNECT_ERRORS):
         return UnsentError(detail)
     return PlatformError(detail)
--- a/packages/platform/src/fuchsiahatch_platform/keyvalue.py
+++ b/packages/platform/src/fuchsiahatch_platform/keyvalue.py
@@ -1,4 +1,4 @@
-"""Client of the key-value service, over the published etcd v3 JSON interface."""
+"""Client of the key-value service, over etcd's v3 JSON API."""
 
 import asyncio
 import base64
@@ -18,13 +18,13 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_platform.http import HttpCaller
 
-#: How often a read is made at most, the first try included.
-READ_TRIES = 3
-#: Longest pause before the first repeat of a read; it doubles with each.
+#: Includes the first attempt.
+MAX_READ_ATTEMPTS = 3
+#: Maximum pause before the first retry of a read; it doubles with each retry.
 BACKOFF_MS = 50
-#: Silence after which a watch is opened anew. A service whose host lost its power ends
-#: no connection: without this its watches would wait on it for ever.
-WATCH_IDLE_MS = 60_000
+#: Pause after which a watch is reopened. A service whose host loses its power doesn't
+#: close its connections, so that watches would wait on them for ever.
+WATCH_IDLE_TIMEOUT_MS = 60_000
 
 _RANGE = "/v3/kv/range"
 _TRANSACT = "/v3/kv/txn"
@@ -38,14 +38,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyValue:
-    """A value with the version that a compare-and-swap names.
+    """A value with the revision that a compare-and-swap expects.
 
     Attributes
     ----------
     value : bytes
-        What is kept.
     mod_revision : int
-        The service's revision of the last write to this key; 0 when absent.
+        The service's revision of the last write to the key; 0 if it is absent.
     """
 
     value: bytes
@@ -56,25 +55,25 @@
 
 
 class KeyValueClient:
-    """The few calls that fuchsiahatch needs of the key-value service.
+    """Client of those calls of the key-value service that fuchsiahatch uses.
 
     Parameters
     ----------
     url : str
-        Base address, such as ``http://127.0.0.1:2379``.
+        Base URL, such as ``http://127.0.0.1:2379``.
     caller : HttpCaller
-        Makes the calls, each under its time limit.
+        Makes the calls, each with its timeout.
     budget : CallBudget, optional
-        Counts the calls of this process; one of its own by default.
+        Limits and counts the calls of the process; a new one by default.
     rng : random.Random, optional
-        Jitter of the pauses before repeats.
+        Source of the jitter of pauses before retries.
     sleep : callable, optional
-        Waits for some seconds.
+        Waits for a number of seconds.
 
     Notes
     -----
-    Reads are repeated a few times. Writes never are: only their caller can tell
-    whether the first took effect.
+    Reads are retried a few times. Writes never are: only their caller can determine
+    whether the first attempt took effect.
 
     .. versionadded:: 0.1
     """
@@ -97,7 +96,7 @@
 
     @property
     def calls(self) -> int:
-        """Calls made so far, of all kinds."""
+        """Number of calls of all kinds made so far."""
         return self.budget.calls.total()
 
     async def get(self, key: str) -> KeyValue:
@@ -106,42 +105,49 @@
         Raises
         ------
         PlatformError
-            When no try had a usable answer.
+            When no attempt had a usable answer.
         """
         answer = await self._read("range", _RANGE, {"key": _encode(key)})
         return _first_kv(answer)
 
-    async def get_changed(self, known: t.Mapping[str, int]) -> dict[str, KeyValue]:
-        """Return all of some keys if any has another version than is known.
+    async def get_changed(
+        self, known_revisions: t.Mapping[str, int]
+    ) -> dict[str, KeyValue]:
+        """Return the values of some keys if any of these has another revision.
 
         Parameters
         ----------
-        known : dict of str to int
+        known_revisions : dict of str to int
             `KeyValue.mod_revision` by key; 0 for a key that was absent, -1 for
             one that was never read.
 
         Returns
         -------
         dict of str to KeyValue
-            Empty when all versions are as known, so that a confirmation costs a
-            few hundred bytes, not the values.
+            Empty when all revisions are the known ones, so that a confirmation
+            costs a few hundred bytes rather than the values.
 
         Raises
         ------
         PlatformError
-            When there was no usable answer. It is asked once only: whoever
-            confirms a revision asks anew soon, and an answer to a repeat would
-            confirm no later time than the first try's.
+            When there was no usable answer. The call isn't retried: revisions are
+            confirmed again soon anyway, and the answer to a retry would confirm no
+            later time than that of the first attempt.
         """
         body = {
-            "compare": [_compare(key, version) for key, version in known.items()],
-            "failure": [{"requestRange": {"key": _encode(key)}} for key in known],
+            "compare": [
+                _mod_revision_equals(key, mod_revision)
+                for key, mod_revision in known_revisions.items()
+            ],
+            "failure": [
+                {"requestRange": {"key": _encode(key)}} for key in known_revisions
+            ],
         }
         answer = await self._call("confirm", _TRANSACT, body)
         if answer.get("succeeded", False):
             return {}
-        found = (one["responseRange"] for one in answer["responses"])
-        return dict(zip(known, map(_first_kv, found), strict=True))
+        responses = (response["responseRange"] for response in answer["responses"])
+        return dict(zip(known_revisions, map(_first_kv, responses), strict=True))
 
     async def create(self, key: str, value: bytes, lease_id: int | None = None) -> bool:
         """Write a value if its key is absent; see `swap`."""
@@ -150,7 +156,7 @@
     async def swap(
         self, key: str, value: bytes, expected: int, lease_id: int | None = None
     ) -> bool:
-        """Write a value if the key's version is still the expected one.
+        """Write a value if the key's revision is still the expected one.
 
         Parameters
         ----------
@@ -159,7 +165,7 @@
         expected : int
             `KeyValue.mod_revision` as read; 0 creates the key if it is absent.
         lease_id : int, optional
-            Lease that the key expires with.
+            Lease with which the key expires.
 
         Returns
         -------
@@ -171,40 +177,43 @@
         AmbiguousWriteError
             When the answer was lost and the write may have taken effect.
         UnsentError
-            When the write never reached the service.
+            When the write didn't reach the service.
         """
         put = {"key": _encode(key), "value": base64.b64encode(value).decode()}
         if lease_id is not None:
             put["lease"] = str(lease_id)
-        body = {"compare": [_compare(key, expected)], "success": [{"requestPut": put}]}
+        body = {
+            "compare": [_mod_revision_equals(key, expected)],
+            "success": [{"requestPut": put}],
+        }
         answer = await self._write("swap", _TRANSACT, body)
         return bool(answer.get("succeeded", False))
 
     async def grant_lease(self, ttl_ms: int) -> int:
-        """Make a lease and return its id.
+        """Create a lease and return its id.
 
         Parameters
         ----------
         ttl_ms : int
-            How long it lasts without a keep-alive, rounded up to seconds.
+            Duration of the lease without a keep-alive, rounded up to seconds.
 
         Raises
         ------
         AmbiguousWriteError
-            When the answer was lost; a lease that came about lapses by itself.
+            When the answer was lost; a lease that was created expires by itself.
         UnsentError
-            When the call never reached the service.
+            When the call didn't reach the service.
         """
         answer = await self._write("grant", _GRANT, {"TTL": str(-(-ttl_ms // 1000))})
         return int(answer["ID"])
 
     async def keep_alive(self, lease_id: int) -> int:
-        """Prolong a lease and return how long it now lasts in ms; 0 when gone."""
+        """Renew a lease and return its remaining time in ms; 0 if it has ended."""
         answer = await self._write("keep-alive", _KEEP_ALIVE, {"ID": str(lease_id)})
         return int(answer["result"].get("TTL", 0)) * 1000
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease; the keys that it holds go with it."""
+        """End a lease, which removes its keys."""
         await self._write("revoke", _REVOKE, {"ID": str(lease_id)})
 
     async def watch(self, key: str) -> t.AsyncIterator[KeyValue]:
@@ -213,28 +222,28 @@
         Yields
         ------
         KeyValue
-            `ABSENT`'s value after a delete. A value may come twice; none that
-            is the newest when the watch reaches it is left out.
+            `ABSENT`'s value after a delete. A value may be yielded twice, and values
+            may be skipped, but not the latest one when the watch reaches it.
 
         Raises
         ------
         PlatformError
-            When the service is silent; watch again after a pause.
+            When the service doesn't answer; watch again after a pause.
         """
         while True:
-            # The first read and each read after a compaction give the revision
-            # from which the watch goes on, so that no write falls between.
+            # The first read, and each read after a compaction, returns the revision
+            # from which the watch continues, so that no write is missed between.
             answer = await self._read("range", _RANGE, {"key": _encode(key)})
             yield _first_kv(answer)
             start = _revision(answer) + 1
-            # A generator left half read is closed late; its watch would go on
-            # being counted at the service.
+            # A generator that isn't exhausted is closed late; until then, its watch
+            # would count at the service.
             async with contextlib.aclosing(self._watch_from(key, start)) as values:
                 async for value in values:
                     yield value
 
     async def _watch_from(self, key: str, start: int) -> t.AsyncIterator[KeyValue]:
-        """Yield what happens from a revision on, until that is compacted away."""
+        """Yield the changes from a revision on, until it is compacted."""
         while True:
             results = self._open_watch(key, start)
             async with contextlib.aclosing(results):
@@ -244,15 +253,18 @@
                     for event in result.get("events", []):
                         start = int(event["kv"]["mod_revision"]) + 1
                         yield _key_value(event["kv"])
-            # The stream broke off. Going on at the next revision, not at the
-            # service's present one, leaves no gap.
+            # The stream was cut off. Continuing at the next revision, rather than
+            # at the service's current one, leaves no gap.
             await self._pause(1)
 
     async def _open_watch(self, key: str, start: int) -> t.AsyncIterator[t.Any]:
-        """Yield the results of one watch until its connection ends."""
+        """Yield the results of a watch until its connection ends."""
         request = {"key": _encode(key), "start_revision": str(start)}
         lines = self._caller.lines(
-            "POST", self._url + _WATCH, {"create_request": request}, WATCH_IDLE_MS
+            "POST",
+            self._url + _WATCH,
+            {"create_request": request},
+            WATCH_IDLE_TIMEOUT_MS,
         )
         with self.budget.waiting_watch():
             async with contextlib.aclosing(lines):
@@ -260,11 +272,11 @@
                     yield line["result"]
 
     async def _read(self, kind: str, path: str, body: dict[str, t.Any]) -> t.Any:
-        for number in range(1, READ_TRIES):
+        for attempt in range(1, MAX_READ_ATTEMPTS):
             try:
                 return await self._call(kind, path, body)
             except PlatformError:
-                await self._pause(number)
+                await self._pause(attempt)
         return await self._call(kind, path, body)
 
     async def _write(self, kind: str, path: str, body: dict[str, t.Any]) -> t.Any:
@@ -279,21 +291,21 @@
         self.budget.spend(kind)
         return await self._caller.call("POST", self._url + path, body)
 
-    async def _pause(self, number: int) -> None:
-        longest_ms = BACKOFF_MS * 2 ** (number - 1)
-        await self._sleep(self._rng.uniform(0, longest_ms) / 1000)
+    async def _pause(self, attempt: int) -> None:
+        max_pause_ms = BACKOFF_MS * 2 ** (attempt - 1)
+        await self._sleep(self._rng.uniform(0, max_pause_ms) / 1000)
 
 
 def _encode(key: str) -> str:
     return base64.b64encode(key.encode()).decode()
 
 
-def _compare(key: str, version: int) -> dict[str, str]:
+def _mod_revision_equals(key: str, mod_revision: int) -> dict[str, str]:
     return {
         "key": _encode(key),
         "target": "MOD",
         "result": "EQUAL",
-        "modRevision": str(version),
+        "modRevision": str(mod_revision),
     }
 
 
--- a/packages/platform/src/fuchsiahatch_platform/upstream.py
+++ b/packages/platform/src/fuchsiahatch_platform/upstream.py
@@ -1,4 +1,4 @@
-"""Calls to an upstream over HTTP, whose answers arrive in pieces."""
+"""Calls to an upstream over HTTP, with streamed answers."""
 
 import asyncio
 import dataclasses
@@ -18,8 +18,8 @@
 )
 
 
-class _Pieces(protocol.Protocol):
-    """Puts the pieces of an answer on a queue; None ends it, an error breaks it."""
+class _PieceQueue(protocol.Protocol):
+    """Queues the pieces of an answer; None marks its end, an exception its failure."""
 
     def __init__(self) -> None:
         self.queue: asyncio.Queue[bytes | Exception | None] = asyncio.Queue()
@@ -28,13 +28,14 @@
         self.queue.put_nowait(data)
 
     def connectionLost(self, reason=protocol.connectionDone) -> None:
-        # PotentialDataLoss is no whole answer: without a length or an end of
-        # chunks, a cut stream looks complete and the caller keeps half of it.
+        # PotentialDataLoss doesn't complete an answer: without a length or a last
+        # chunk, a stream that was cut off would seem complete to the caller.
         if reason.check(ResponseDone):
             self.queue.put_nowait(None)
             return
         fault = AttemptError(
-            f"the answer broke off: {reason.type.__name__}", Code.TRUNCATED
+            f"answer of the upstream was cut off: {reason.type.__name__}",
+            Code.TRUNCATED,
         )
         self.queue.put_nowait(fault)
 
@@ -51,11 +52,11 @@
     ----------
     status : int
     headers : tuple of (str, str)
-        Without the hop-by-hop ones.
+        Without hop-by-hop headers.
     pieces : async iterator of bytes
-        Raises `AttemptError` when the answer breaks off.
+        Raises `AttemptError` when the answer is cut off.
     abort : callable
-        Ends the call at the upstream.
+        Closes the connection, which ends the call at the upstream.
     """
 
     status: int
@@ -65,7 +66,7 @@
 
 
 class UpstreamClient:
-    """Makes calls to the one upstream beside an agent.
+    """Makes calls to the local upstream of an agent.
 
     Notes
     -----
@@ -78,7 +79,7 @@
         self._url = url.rstrip("/")
         pool = HTTPConnectionPool(reactor)
         pool.maxPersistentPerHost = 64
-        # A pool that retries by itself would run a hold twice.
+        # A retry by the pool would run a hold twice.
         pool.retryAutomatically = False
         self._agent = Agent(reactor, pool=pool)
 
@@ -89,14 +90,14 @@
         headers: t.Iterable[tuple[str, str]],
         body: bytes,
     ) -> UpstreamAnswer:
-        """Send a request and return when the head of the answer is there.
+        """Send a request and return when the head of its answer has arrived.
 
         Raises
         ------
         AttemptError
             When no head arrives; the request may have run.
         RefusedError
-            When no connection comes about, so that nothing was sent.
+            When no connection can be established, so that nothing was sent.
         """
         loop = asyncio.get_running_loop()
         sent = treq.request(
@@ -110,24 +111,24 @@
         try:
             response = await sent.asFuture(loop)
         except ConnectError as fault:
-            detail = f"the upstream can't be reached: {type(fault).__name__}"
+            detail = f"the upstream is unreachable: {type(fault).__name__}"
             raise RefusedError(detail, Code.NO_LIVE_UPSTREAM, RETRY_AFTER_MS) from fault
         except Exception as fault:
             detail = f"no answer from the upstream: {type(fault).__name__}"
             raise AttemptError(detail, Code.UPSTREAM_FAILED) from fault
-        pieces = _Pieces()
+        pieces = _PieceQueue()
         response.original.deliverBody(pieces)
         kept = tuple(
             (name.decode(), value.decode())
             for name, values in response.headers.getAllRawHeaders()
             for value in values
-            # treq decodes a packed body and leaves the header behind, empty.
+            # treq decompresses the body but leaves the header, empty.
             if value and name.decode().lower() not in _HOP_BY_HOP
         )
         return UpstreamAnswer(response.code, kept, _iterate(pieces), pieces.abort)
 
 
-async def _iterate(pieces: _Pieces) -> t.AsyncIterator[bytes]:
+async def _iterate(pieces: _PieceQueue) -> t.AsyncIterator[bytes]:
     while (piece := await pieces.queue.get()) is not None:
         if isinstance(piece, Exception):
             raise piece
--- a/tests/platform/test_budget.py
+++ b/tests/platform/test_budget.py
@@ -11,11 +11,11 @@
         self.clock = ManualClock()
         self.budget = CallBudget(self.clock, calls_per_second=2, burst=3)
 
-    def test_a_loop_gone_wild_is_refused(self):
-        """A fault makes one process ask the service again and again.
+    def test_calls_over_the_rate_are_refused(self):
+        """A fault makes one process call the service in a tight loop.
 
-        Without a budget its calls would take the service's rate from all other
-        hosts, and no change of theirs would land.
+        Without a budget it would use up the service's rate for all hosts, and no
+        change of another host would succeed.
         """
         for _ in range(3):
             self.budget.spend("range")
@@ -25,7 +25,7 @@
         self.assertEqual(seen.exception.retry_after_ms, 501)
         self.assertEqual((self.budget.calls["range"], self.budget.refused), (3, 1))
 
-    def test_fills_with_time(self):
+    def test_the_budget_refills_over_time(self):
         for _ in range(3):
             self.budget.spend("range")
         self.clock.advance(500)
--- a/tests/platform/test_keyvalue.py
+++ b/tests/platform/test_keyvalue.py
@@ -13,7 +13,7 @@
 from fuchsiahatch_platform import keyvalue
 from fuchsiahatch_platform.budget import CallBudget
 from fuchsiahatch_platform.http import HttpCaller
-from fuchsiahatch_platform.keyvalue import ABSENT, READ_TRIES, KeyValueClient
+from fuchsiahatch_platform.keyvalue import ABSENT, MAX_READ_ATTEMPTS, KeyValueClient
 from fuchsiahatch_standins.keyvalue import Faults, Store, make_app
 from tests.loopback import Served, run
 
@@ -44,7 +44,7 @@
 
 
 class TestSwap(KeyValueCase):
-    def test_only_the_version_that_was_read_is_replaced(self):
+    def test_only_the_revision_that_was_read_is_replaced(self):
         async def work(client):
             self.assertTrue(await client.create("k", b"1"))
             self.assertFalse(await client.create("k", b"2"))
@@ -55,11 +55,11 @@
 
         self.session(work)
 
-    def test_a_lost_answer_is_ambiguous_and_is_not_repeated(self):
+    def test_a_lost_answer_is_ambiguous_and_is_not_retried(self):
         """An operator's write takes effect and its answer is lost.
 
-        A client that repeats it by itself would see its own write as another's
-        and report a conflict for a change that landed.
+        A client that retries it by itself would take its first write for that of
+        another client, and report a conflict for a change that succeeded.
         """
 
         async def work(client):
@@ -71,7 +71,7 @@
 
         self.session(work)
 
-    def test_a_write_that_met_no_service_had_no_effect(self):
+    def test_a_write_without_a_connection_is_unsent(self):
         async def go():
             client = self.client("127.0.0.1:1", HttpCaller(200))
             with self.assertRaises(UnsentError):
@@ -81,18 +81,18 @@
 
 
 class TestReads(KeyValueCase):
-    def test_bounded_repeats_with_jitter(self):
+    def test_retries_are_bounded_and_jittered(self):
         async def work(client):
             self.faults.down = True
             with self.assertRaises(PlatformError):
                 await client.get("k")
-            self.assertEqual(self.faults.calls, READ_TRIES)
-            self.assertEqual(client.budget.calls["range"], READ_TRIES)
-            self.assertEqual(len(set(self.pauses)), READ_TRIES - 1)
+            self.assertEqual(self.faults.calls, MAX_READ_ATTEMPTS)
+            self.assertEqual(client.budget.calls["range"], MAX_READ_ATTEMPTS)
+            self.assertEqual(len(set(self.pauses)), MAX_READ_ATTEMPTS - 1)
 
         self.session(work)
 
-    def test_a_confirmation_is_asked_once(self):
+    def test_a_confirmation_is_not_retried(self):
         async def work(client):
             self.faults.down = True
             with self.assertRaises(PlatformError):
@@ -106,7 +106,7 @@
             await client.create("a", b"x" * 10_000)
             first = await client.get_changed({"a": -1, "b": -1})
             self.assertEqual(first["b"], ABSENT)
-            known = {key: found.mod_revision for key, found in first.items()}
+            known = {key: pair.mod_revision for key, pair in first.items()}
             before = self.faults.sent_bytes
             self.assertEqual(await client.get_changed(known), {})
             self.assertLess(self.faults.sent_bytes - before, 200)
@@ -118,7 +118,7 @@
 
 
 class TestLeases(KeyValueCase):
-    def test_a_key_lapses_with_its_lease(self):
+    def test_a_key_expires_with_its_lease(self):
         async def work(client):
             lease_id = await client.grant_lease(2_500)
             await client.create("k", b"1", lease_id)
@@ -132,7 +132,7 @@
 
         self.session(work)
 
-    def test_revoke_ends_it_at_once(self):
+    def test_revoking_a_lease_removes_its_keys_at_once(self):
         async def work(client):
             lease_id = await client.grant_lease(60_000)
             await client.create("k", b"1", lease_id)
@@ -143,11 +143,11 @@
 
 
 class TestWatch(KeyValueCase):
-    def test_goes_on_after_a_cut_with_no_gap(self):
-        """The service goes away for a moment while a record is changed.
+    def test_a_watch_continues_without_a_gap_after_a_disconnect(self):
+        """The service is down for a moment while a record is changed.
 
-        A watch that goes on from the present revision after the cut would never
-        deliver that change, and the old record would stay in force.
+        A watch that continues from the current revision after the disconnect would
+        never deliver that change, and the old record would stay in force.
         """
 
         async def work(client):
@@ -156,14 +156,14 @@
                 await client.create("k", b"1")
                 self.assertEqual((await anext(values)).value, b"1")
                 await self.cut_watches(client)
-                self.store.restore(*kept("k", b"2"))
-                self.store.restore(*kept("k", b"3"))
+                self.store.restore(*encode_item("k", b"2"))
+                self.store.restore(*encode_item("k", b"3"))
                 self.assertEqual((await anext(values)).value, b"2")
                 self.assertEqual((await anext(values)).value, b"3")
 
         self.session(work)
 
-    def test_reads_anew_when_its_place_was_compacted(self):
+    def test_a_watch_reads_again_when_its_revision_was_compacted(self):
         async def work(client):
             async with contextlib.aclosing(client.watch("k")) as values:
                 await anext(values)
@@ -171,17 +171,17 @@
                 await anext(values)
                 await self.cut_watches(client)
                 for value in (b"2", b"3"):
-                    self.store.restore(*kept("k", value))
+                    self.store.restore(*encode_item("k", value))
                 self.store.compact(3)
                 self.assertEqual((await anext(values)).value, b"3")
 
         self.session(work)
 
-    def test_is_opened_anew_after_long_silence(self):
-        """The service's host loses its power and comes back under its address.
+    def test_a_watch_is_reopened_after_the_idle_timeout(self):
+        """The service's host loses its power and restarts with the same address.
 
-        The watch on the old connection hears nothing, not even its end; without
-        a limit it would never hear of a change again.
+        The watch on the old connection receives nothing, not even its end; without
+        a timeout it would never receive another change.
         """
 
         async def work(client):
@@ -190,13 +190,13 @@
                 waiting = asyncio.ensure_future(anext(values))
                 while client.budget.calls["watch"] < 3:
                     await asyncio.sleep(0)
-                self.store.restore(*kept("k", b"1"))
+                self.store.restore(*encode_item("k", b"1"))
                 self.assertEqual((await waiting).value, b"1")
 
-        with unittest.mock.patch.object(keyvalue, "WATCH_IDLE_MS", 20):
+        with unittest.mock.patch.object(keyvalue, "WATCH_IDLE_TIMEOUT_MS", 20):
             self.session(work)
 
-    def test_is_counted_while_it_waits(self):
+    def test_a_watch_is_counted_while_it_is_open(self):
         async def work(client):
             async with contextlib.aclosing(client.watch("k")) as values:
                 await anext(values)
@@ -216,7 +216,7 @@
         await caller.close()
 
 
-def kept(key, value):
+def encode_item(key, value):
     import base64
 
     return base64.b64encode(key.encode()).decode(), base64.b64encode(value).decode()
--- a/tests/platform/test_upstream.py
+++ b/tests/platform/test_upstream.py
@@ -9,25 +9,25 @@
 
 
 class Upstream:
-    """Writes the beginning of an answer, and sees whether its caller goes."""
+    """Writes the beginning of an answer, and notes whether the client disconnects."""
 
     def __init__(self):
         self.app = Klein()
-        self.caller_gone = asyncio.Event()
+        self.client_disconnected = asyncio.Event()
 
         @self.app.route("/answer")
         def answer(request):
-            request.notifyFinish().addErrback(lambda _: self.caller_gone.set())
+            request.notifyFinish().addErrback(lambda _: self.client_disconnected.set())
             request.write(b"where the front")
             return Deferred()
 
 
 class TestAbort(unittest.TestCase):
-    def test_upstream_sees_that_nobody_reads(self):
-        """An engine goes on writing for a member who has closed the chat.
+    def test_aborting_an_answer_disconnects_from_the_upstream(self):
+        """An engine continues to generate for a user who has closed the chat.
 
-        The agent gives the call up, but its word never reaches the connection: the
-        transport of an answer's body has no way to abort, only to close.
+        The agent abandons the call, but the connection stays open: the transport of
+        an answer's body can only be closed, it has no method to abort.
         """
 
         async def work():
@@ -37,6 +37,6 @@
                 answer = await client.send("GET", "/answer", [], b"")
                 self.assertEqual(await anext(answer.pieces), b"where the front")
                 answer.abort()
-                await upstream.caller_gone.wait()
+                await upstream.client_disconnected.wait()
 
         run(work())
