--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -199,7 +199,7 @@
             # A refusal before the request was read names no request.
             return head
         await connection.body()
-        connection.expect_another()
+        connection.expect_next_answer()
     raise AnswerBroken("only other requests' answers came")
 
 
--- a/packages/gateway/src/fuchsiahatch_gateway/delivery.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/delivery.py
@@ -358,7 +358,7 @@
                 detail=fault.detail,
                 version=self._version(),
             )
-        if exchange.gone:
+        if exchange.caller_disconnected:
             return
         if exchange.started:
             # A partial answer must not look complete.
--- a/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
@@ -71,7 +71,7 @@
                 await asyncio.sleep(READ_INTERVAL_MS / 1000)
 
     async def _read(self) -> None:
-        result = await self._store.read_all(ENTRIES_PREFIX, may_be_old=True)
+        result = await self._store.read_all(ENTRIES_PREFIX, allow_stale=True)
         items = {item.key.removeprefix(ENTRIES_PREFIX): item for item in result.items}
         entries = self._decoder.decode_all(items)
         self._registered = {node: entry.peer for node, entry in entries.items()}
--- a/packages/gateway/src/fuchsiahatch_gateway/fleet.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/fleet.py
@@ -324,7 +324,10 @@
         if known is None:
             now_ms = self._clock.now_ms()
             self.upstreams[instance] = Upstream(
-                entry, born_ms=entry.born_ms, seen_ms=now_ms, entry_version=item.told
+                entry,
+                born_ms=entry.born_ms,
+                seen_ms=now_ms,
+                entry_version=item.change_order,
             )
             log_event(Event.UPSTREAM_SEEN, upstream=instance, service=entry.service)
             return
@@ -343,7 +346,7 @@
             # yet. Leaving is final for an incarnation: it gets no new request.
             entry = dataclasses.replace(entry, leaving=True)
         else:
-            known.entry_version = item.told
+            known.entry_version = item.change_order
         known.entry = entry
 
     def _start_incarnation(
--- a/packages/gateway/src/fuchsiahatch_gateway/item_copies.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/item_copies.py
@@ -87,7 +87,7 @@
     def _apply(self, item: "Item") -> None:
         name = self._name(item)
         current = self.items.get(name)
-        if current is not None and current.told >= item.told:
+        if current is not None and current.change_order >= item.change_order:
             return
         if item.value is None:
             self._apply_deletion(name)
--- a/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/rank_agent.py
@@ -380,7 +380,7 @@
         return await upstream.disarm(order.version, order.epoch, timeout_ms)
     if order.kind is OrderKind.HOLD:
         return await upstream.hold(order.epoch, order.step, timeout_ms)
-    return await upstream.let_go(order.epoch, order.step, timeout_ms)
+    return await upstream.release(order.epoch, order.step, timeout_ms)
 
 
 def _now_ms() -> float:
--- a/tests/gateway/test_delivery.py
+++ b/tests/gateway/test_delivery.py
@@ -434,7 +434,7 @@
             unreachable = upstream(answers())
             async with Site(unreachable, upstream(answers())) as site:
                 await unreachable.close()
-                site.entry.pool.forget("127.0.0.1", unreachable.port)
+                site.entry.pool.close_idle("127.0.0.1", unreachable.port)
                 return [(await site.ask("/hold/")).status for _ in range(6)]
 
         self.assertEqual(set(run(asks())), {200})
