--- a/packages/experts/src/fuchsiahatch_experts/drift.py
+++ b/packages/experts/src/fuchsiahatch_experts/drift.py
@@ -28,7 +28,7 @@
 #: Requests running in a group up to which that time constant applies: 8 ranks of 4.
 #: With more requests, their mix averages out sooner and a long time constant only adds
 #: lag. With 350 ms instead of 700 ms and some 110 requests in a group of 32 ranks, 0.77
-#: instead of 0.62 of the worth owed was earned on a day of high load.
+#: instead of 0.62 of the value of all answers was reached on a day of high load.
 SMALL_GROUP_REQUESTS = 32
 #: Time constant of the recent demand, which is compared with it to detect shifts.
 RECENT_DECAY_TIME_MS = 160.0
--- a/packages/experts/src/fuchsiahatch_experts/health.py
+++ b/packages/experts/src/fuchsiahatch_experts/health.py
@@ -50,8 +50,8 @@
     """
     return frozenset(
         rank
-        for rank, own_ms in compute_ms.items()
-        if own_ms * _WHOLE_PERCENT > _median_of_others(compute_ms, rank) * slow_percent
+        for rank, rank_ms in compute_ms.items()
+        if rank_ms * _WHOLE_PERCENT > _median_of_others(compute_ms, rank) * slow_percent
     )
 
 
--- a/packages/experts/src/fuchsiahatch_experts/packing.py
+++ b/packages/experts/src/fuchsiahatch_experts/packing.py
@@ -217,7 +217,7 @@
     cell_experts, cell_ranks : ndarray of int
         Its replicas as parallel arrays, by expert. A rank holds a few percent of the
         experts, so that a search takes 0.10 ms over these arrays and 0.21 ms over the
-        whole table (192 experts, 96 ranks of 3 places). A plan makes a hundred of them.
+        whole table (192 experts, 96 ranks of 3 slots). A plan takes a hundred searches.
     replica_loads : ndarray
         Load of one replica, by expert.
     hot_rank : int
@@ -366,8 +366,8 @@
     surplus = layer.replicas > 1
     chosen = surplus[layer.cell_experts] & copying[layer.cell_ranks]
     experts, ranks = layer.cell_experts[chosen], layer.cell_ranks[chosen]
-    held = np.bincount(layer.cell_ranks, minlength=len(layer.loads))
-    free = np.flatnonzero((held < slots) & copying)
+    used = np.bincount(layer.cell_ranks, minlength=len(layer.loads))
+    free = np.flatnonzero((used < slots) & copying)
     rise = layer.shares / np.maximum(layer.replicas - 1, 1) - layer.replica_loads
     # Includes the rank that drops the replica, which only makes the search less likely
     # to evict a replica from a rank that is nearly the most loaded.
@@ -442,13 +442,13 @@
     allowed = ~layer.placed[layer.hot_experts][:, ranks]
     scores = np.where(allowed, (highest - peaks) / 2, -np.inf)
     row, column = divmod(int(scores.argmax()), scores.shape[1])
-    expert, other = int(layer.hot_experts[row]), int(experts[column])
+    expert, partner = int(layer.hot_experts[row]), int(experts[column])
     rank = int(ranks[column])
     score = float(scores[row, column])
     return _Change(
         score,
-        ((expert, layer.hot_rank), (other, rank)),
-        ((expert, rank), (other, layer.hot_rank)),
+        ((expert, layer.hot_rank), (partner, rank)),
+        ((expert, rank), (partner, layer.hot_rank)),
     )
 
 
@@ -460,12 +460,12 @@
     experts = layer.hot_experts[layer.replicas[layer.hot_experts] > 1]
     if not len(experts):
         return _Change(-np.inf)
-    others = layer.placed[experts]
-    others[:, layer.hot_rank] = False
+    remaining = layer.placed[experts]
+    remaining[:, layer.hot_rank] = False
     replicas_left = layer.replicas[experts] - 1
     rise = layer.shares[experts] / replicas_left - layer.replica_loads[experts]
     raised_loads = layer.loads + rise[:, np.newaxis] * layer.paces
-    target_loads = np.where(others, raised_loads, 0.0).max(axis=1)
+    target_loads = np.where(remaining, raised_loads, 0.0).max(axis=1)
     highest = layer.loads[layer.hot_rank]
     source_loads = highest - layer.replica_loads[experts] * layer.paces[layer.hot_rank]
     reliefs = highest - np.maximum(target_loads, source_loads)
--- a/packages/experts/src/fuchsiahatch_experts/switching.py
+++ b/packages/experts/src/fuchsiahatch_experts/switching.py
@@ -62,7 +62,7 @@
 #: Age above which a rank's report is ignored.
 MAX_REPORT_AGE_MS = 1_000
 #: Time without a report of the last rank after which a new leader proceeds without it,
-#: where that is safe. Agents obey a new leader within some 10 ms.
+#: where that is safe. Agents accept a new term within some 10 ms.
 ABSENT_RANK_TIMEOUT_MS = 60
 
 
@@ -98,7 +98,7 @@
     switched, abandoned : int
         Numbers of completed and of abandoned switches.
     replaced : bool
-        Whether an agent obeys a later leader; no more orders are sent then.
+        Whether an agent has accepted a later term; no more orders are sent then.
     known_map : callable
         Returns the map of a version as known to the leader's agent, or None.
     """
@@ -110,9 +110,8 @@
         "_clear_version",
         "_committed",
         "_copy_until_ms",
-        "_first_step",
-        "_held_step",
         "_hold_ahead",
+        "_last_held_step",
         "_leader_rank",
         "_may_start",
         "_next_number",
@@ -120,6 +119,7 @@
         "_reported_ms",
         "_reports",
         "_sent",
+        "_settled_step",
         "_settling_since_ms",
         "_standby",
         "_step",
@@ -147,7 +147,7 @@
         self._reports: dict[int, RankReport] = {}
         self._reported_ms: dict[int, int] = {}
         self._next_number = 1
-        self._held_step = 0
+        self._last_held_step = 0
         self._hold_ahead = HOLD_AHEAD_PASSES
         self.epoch = -1
         self.experts = 0
@@ -217,7 +217,7 @@
             and self.placement is not None
             and leader_report is not None
             and leader_report.open
-            and leader_report.step >= self._first_step + TAKEOVER_PASSES
+            and leader_report.step >= self._settled_step + TAKEOVER_PASSES
         )
 
     @property
@@ -244,7 +244,7 @@
         standby : int, optional
             Rank that holds passes; the one after the leader's rank by default.
         """
-        if not self.ready or not self._has_fresh_reports(now_ms):
+        if not self.ready or not self._has_recent_reports(now_ms):
             return False
         self._target = placement
         self._hold_ahead = hold_ahead
@@ -287,7 +287,7 @@
         self._armed_version = 0
         self._clear_version = 0
         self._step = 0
-        self._first_step = -1
+        self._settled_step = -1
         self._absent: int | None = None
         self._settling_since_ms = None
         self._copy_until_ms = 0
@@ -353,7 +353,7 @@
             self._start_clearing(newest)
 
     def _end_settling(self) -> None:
-        self._first_step = max(report.step for report in self._reports.values())
+        self._settled_step = max(report.step for report in self._reports.values())
         self.phase = Phase.IDLE
 
     def _idle(self, now_ms: int) -> None:
@@ -393,7 +393,7 @@
             self.abandoned += 1
         self._target = None
         self._sent.forget()
-        if self._first_step < 0:
+        if self._settled_step < 0:
             self._end_settling()
         self.phase = Phase.IDLE
 
@@ -406,7 +406,7 @@
         if any(report.held is not None for report in reports):
             return
         self._abandon()
-        if self._first_step < 0:
+        if self._settled_step < 0:
             self._end_settling()
 
     # Helpers of the phase handlers.
@@ -416,9 +416,9 @@
         # group, which begins no passes, it would release a second hold of the same
         # pass too early.
         self._step = max(
-            self._last_begun_step() + self._hold_ahead, self._held_step + 1
+            self._last_begun_step() + self._hold_ahead, self._last_held_step + 1
         )
-        self._held_step = self._step
+        self._last_held_step = self._step
         self.phase = Phase.HOLDING
 
     def _abandon(self) -> None:
@@ -553,12 +553,12 @@
         return None if placement is None else (version, placement)
 
     def _current_placement(self) -> Placement | None:
-        """Return the map in force, if needed with an absent rank's part inferred.
+        """Return the map in force; an absent rank's part of it may be inferred.
 
         An absent rank is taken to hold the experts that no other rank holds, but only
         where this leader's agent doesn't know the map. An inferred map differs from the
         one that the other agents know: 2.2 KB, sent repeatedly to each of 62 agents,
-        saturated a link of 4 Mbit/s, and groups were held for 15 s.
+        saturated a link of 4 Mbit/s, and passes were held for 15 s.
         """
         if self._absent is None:
             return self.placement
@@ -581,7 +581,7 @@
             zip(*(experts_by_rank[rank] for rank in range(self._ranks)), strict=True)
         )
 
-    def _has_fresh_reports(self, now_ms: int) -> bool:
+    def _has_recent_reports(self, now_ms: int) -> bool:
         return len(self._reported_ms) >= self._ranks and all(
             now_ms - reported_ms <= MAX_REPORT_AGE_MS
             for reported_ms in self._reported_ms.values()
--- a/tests/experts/switch_model.py
+++ b/tests/experts/switch_model.py
@@ -13,8 +13,8 @@
 TURN_MS = 5
 COPY_MS = 60
 LEASE_MS = 600
-#: Age up to which an agent's report that it obeys a leader counts.
-MAX_OBEYED_AGE_MS = 300
+#: Age up to which an agent's acknowledgement of a leader's term counts.
+MAX_TERM_ACK_AGE_MS = 300
 #: Age of an engine's state when it is read from a remote host.
 REMOTE_REPORT_DELAY_MS = 200
 #: Time without contact to a leader after which its standby takes over held passes.
@@ -45,12 +45,12 @@
     takes_over: bool = False
     last_contact_ms: int = 0
     sequences: dict[int, int] = dataclasses.field(default_factory=dict)
-    obeyed_ms: dict[int, int] = dataclasses.field(default_factory=dict)
+    term_acked_ms: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def is_obeyed(self, now_ms: int) -> bool:
-        """Whether all agents reported recently that they obey this leader."""
-        times_ms = self.obeyed_ms.values()
-        return len(times_ms) == RANKS and now_ms - min(times_ms) <= MAX_OBEYED_AGE_MS
+        """Whether all agents have recently acknowledged this leader's term."""
+        times_ms = self.term_acked_ms.values()
+        return len(times_ms) == RANKS and now_ms - min(times_ms) <= MAX_TERM_ACK_AGE_MS
 
 
 class Model:
@@ -86,8 +86,8 @@
         #:
         #: The newest leader reaches the engines of stalled agents directly, where
         #: nothing refuses an older leader. If agents or hosts can stall, a leader whose
-        #: lease has ended therefore continues only while all agents report that they
-        #: obey it; else it continues in any case.
+        #: lease has ended therefore continues only while all agents acknowledge its
+        #: term; else it continues in any case.
         self.agent_stall_rate = self.failure_rate / 4 if seed % 2 else 0.0
         #: Rate at which hosts stall, with their agents, leaders and access to engines.
         self.host_stall_rate = 0.004 if seed % 3 else 0.0
@@ -306,9 +306,9 @@
         if sequence <= leader.sequences.get(report.rank, 0):
             return
         leader.sequences[report.rank] = sequence
-        leader.obeyed_ms.pop(report.rank, None)
+        leader.term_acked_ms.pop(report.rank, None)
         if not stalled and report.term == leader.switch.term:
-            leader.obeyed_ms[report.rank] = self.now_ms
+            leader.term_acked_ms[report.rank] = self.now_ms
         leader.switch.observe(report, self.now_ms)
 
     def _lead(self, leader: Leader) -> None:
@@ -370,7 +370,7 @@
     def _commit(self, leader: Leader, term: int, order: Order) -> None:
         """Let the standby's agent accept a commit.
 
-        It does if it isn't stalled, obeys the leader and saw the version prepared.
+        It does if it isn't stalled, knows no later term and saw the version prepared.
         """
         agent = self.agents[order.rank]
         lost = self.rng.random() < self.message_loss_rate
--- a/tests/experts/test_switching.py
+++ b/tests/experts/test_switching.py
@@ -144,7 +144,7 @@
         # A pass runs with two maps if a leader whose lease has ended continues while
         # its successor sends orders directly to the engines of stalled agents. As the
         # leader's rank is armed last, no maps are mixed even if the leader doesn't
-        # check whether it is still obeyed.
+        # check whether all agents still acknowledge it.
         for seed in REPLACED_LEADER_SEEDS:
             play(seed)
         with mock.patch.object(Leader, "is_obeyed", lambda self, now_ms: True):
@@ -335,7 +335,7 @@
         self.assertIs(self.switch.phase, Phase.IDLE)
         self.assertEqual(self.switch.orders(31), [])
 
-    def test_a_leader_waits_until_all_ranks_obey_its_term(self):
+    def test_a_leader_waits_until_all_ranks_acknowledge_its_term(self):
         # A group with a leader is never switched if an agent learns of the leader
         # before it knows its group, and so never adopts the leader's term.
         late = Switch(5, 0, RANKS)
