--- a/packages/gateway/src/fuchsiahatch_gateway/agent.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/agent.py
@@ -76,9 +76,9 @@
         assert settings.beside is not None
         self._process = process
         self._clock = clock
-        self._leader_items = ItemDecoder(decode_leader)
+        self._leader_decoder = ItemDecoder(decode_leader)
         self._leaders: dict[str, LeaderRecord] = {}
-        self._figure_items = ItemDecoder(decode_engine_figures)
+        self._figure_decoder = ItemDecoder(decode_engine_figures)
         self._figures: dict[str, EngineFigures] = {}
         self._upstream_address = str(settings.beside)
         self.store = StoreClient(settings.store, ConnectionPool(clock))
@@ -117,7 +117,7 @@
         """Report and execute orders until SIGTERM."""
         process, settings = self._process, self._process.settings
         process.keep_running(self._follower.run())
-        process.keep_running(self._entries.read_for_ever())
+        process.keep_running(self._entries.read_forever())
         ip, port = self.peer
         reactor.listenUDP(port, self.datagrams, interface=ip)
         self._add_gauges()
@@ -152,10 +152,10 @@
     async def _report(self) -> None:
         self._note_leader()
         try:
-            turn = self._reporter.choices_action()
-            if turn is ChoicesAction.BEGIN:
+            action = self._reporter.choices_action()
+            if action is ChoicesAction.BEGIN:
                 await self.rank.reset_choices()
-            state = await self.rank.read_state(turn is ChoicesAction.TELL)
+            state = await self.rank.read_state(action is ChoicesAction.TELL)
         except PlatformError as fault:
             if not self._engine_failing:
                 log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
@@ -347,12 +347,12 @@
         items = self._leader_copy.items
         self._leaders = {
             group: LeaderRecord(group, term_of(era, items[group].created), peer)
-            for group, (peer, era) in self._leader_items.decode_all(items).items()
+            for group, (peer, era) in self._leader_decoder.decode_all(items).items()
         }
         self._note_leader()
 
     def _apply_figures(self) -> None:
-        self._figures = self._figure_items.decode_all(self._figure_copy.items)
+        self._figures = self._figure_decoder.decode_all(self._figure_copy.items)
         self._update_leader_figures()
 
     def _apply_era(self) -> None:
--- a/packages/gateway/src/fuchsiahatch_gateway/attempts.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/attempts.py
@@ -42,9 +42,9 @@
         Of the upstream's answer; None without one.
     body : bytes
         Of a complete answer that was not relayed yet.
-    passed_on : bool
+    relayed : bool
         Whether the complete answer has been sent to the caller.
-    cut : bool
+    closed_early : bool
         Whether the upstream closed the connection before its answer was complete.
     events_relayed : bool
         Whether events of its answer were relayed to the caller.
--- a/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/crashing_requests.py
@@ -16,7 +16,8 @@
 
 #: Crashes after which a request is held back.
 MAX_CRASHES = 3
-#: Time for which it is held back; a new version of the model may run it.
+#: Time for which it is held back; after that, a new version of the model may be able
+#: to run it.
 HOLD_MS = 600_000
 #: Time after the latest crash for which crashes count against a request.
 SUSPECT_TTL_MS = 3_600_000
@@ -155,7 +156,9 @@
                 source="store",
                 crashes=self.crashes(fingerprint),
             )
-        self._stored_ms = {one: self._stored_ms.get(one, now_ms) for one in held}
+        self._stored_ms = {
+            stored: self._stored_ms.get(stored, now_ms) for stored in held
+        }
 
     def crashes(self, fingerprint: str) -> int:
         """Return how many upstreams are known to have crashed during a request."""
--- a/packages/gateway/src/fuchsiahatch_gateway/datagrams.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/datagrams.py
@@ -241,7 +241,7 @@
 
 
 class PermitReply(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Reply to `PermitRequest`: 0 for a permit, or the time until the next try."""
+    """Reply to `PermitRequest`: 0 for a permit, or the time until the next attempt."""
 
     number: int
     wait_ms: _Count
--- a/packages/gateway/src/fuchsiahatch_gateway/defaults.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/defaults.py
@@ -1,6 +1,6 @@
 """Times and limits that more than one module of the gateway shares."""
 
-#: Lease of an entry's registration; lookups stop naming a dead entry after this time.
+#: Lease of an entry's registration; lookups name a failed entry for up to this time.
 REGISTRATION_TTL_MS = 3_000
 #: Short enough for two renewals to fail before a lease expires.
 LEASE_RENEWAL_INTERVAL_MS = 900
@@ -17,7 +17,7 @@
 #: expired meanwhile are back; the platform states about two seconds.
 LAPSE_GRACE_MS = 2_300
 #: Lease of a rank group's leader. Shorter than the time for which a stream's caller
-#: waits for an event: a group whose leader died while it held the group continues
+#: waits for an event: a group whose leader failed while it held a pass continues
 #: before callers disconnect.
 LEADER_TTL_MS = 1_500
 LEADER_RENEWAL_INTERVAL_MS = 450
--- a/packages/gateway/src/fuchsiahatch_gateway/engine_figures.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/engine_figures.py
@@ -21,11 +21,11 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_adapter.store import Item, StoreClient
 
-#: Number of entries that write the figures, the first ones by name. Each writer reads
+#: Entries that write the figures: the first ones by name. Each writer reads
 #: the item once, which would be hundreds of calls if all entries did so.
-WRITERS = 3
+MAX_WRITERS = 3
 #: Delay between two writers, long enough for the first one to have written.
-STAGGER_MS = 250
+WRITER_DELAY_MS = 250
 #: Interval at which other entries check whether they have become writers.
 INDEX_POLL_INTERVAL_MS = 2_000
 
@@ -123,10 +123,10 @@
         while True:
             await self._due.wait()
             index = self._index()
-            if index is None or index >= WRITERS:
+            if index is None or index >= MAX_WRITERS:
                 await asyncio.sleep(INDEX_POLL_INTERVAL_MS / 1000)
                 continue
-            await asyncio.sleep(index * STAGGER_MS / 1000)
+            await asyncio.sleep(index * WRITER_DELAY_MS / 1000)
             try:
                 await self._write_all()
             except (ConflictError, PlatformError) as fault:
--- a/packages/gateway/src/fuchsiahatch_gateway/entry.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry.py
@@ -114,7 +114,7 @@
         self._leaving = False
         self._listening = False
         self._entries: dict[str, EntryRecord] = {}
-        self.records = ItemDecoder(decode_entry)
+        self.entry_decoder = ItemDecoder(decode_entry)
         self.routes = RouteTable()
         self.pool = ConnectionPool(clock, CONNECT_TIMEOUT_MS)
         self.store = StoreClient(settings.store, ConnectionPool(clock))
@@ -197,22 +197,22 @@
             Clearance: lambda notice, peer: self.crashing.receive_clearance(notice),
             LateNotice: lambda notice, peer: self.late.receive_notice(notice),
         }
-        self._configuration_items = self._copy(
+        self._configuration_copy = self._make_copy(
             CONFIGURATION_KEY, self._apply_configuration
         )
-        self._upstream_items = self._copy(UPSTREAMS_PREFIX, self._apply_upstreams)
-        self._entry_items = self._copy(ENTRIES_PREFIX, self._apply_entries)
-        self._held_items = self._copy(HELD_PREFIX, self._apply_held)
+        self._upstream_copy = self._make_copy(UPSTREAMS_PREFIX, self._apply_upstreams)
+        self._entry_copy = self._make_copy(ENTRIES_PREFIX, self._apply_entries)
+        self._held_copy = self._make_copy(HELD_PREFIX, self._apply_held)
         self.follower = Follower(
             self.store,
             WATCHED_PREFIX,
             self.health,
             clock,
             (
-                self._configuration_items,
-                self._upstream_items,
-                self._entry_items,
-                self._held_items,
+                self._configuration_copy,
+                self._upstream_copy,
+                self._entry_copy,
+                self._held_copy,
             ),
         )
 
@@ -224,7 +224,7 @@
         process.keep_running(self.held.run())
         port = settings.internal_ports[0]
         reactor.listenUDP(port, self.datagrams, interface=settings.ip)
-        process.keep_running(self._announce_for_ever())
+        process.keep_running(self._announce_forever())
         add_gauges(self, process)
         process.keep_running(process.log_store_calls(self.store.calls))
         await process.serve_metrics()
@@ -234,7 +234,7 @@
         # Callers are accepted once routes and upstreams are known.
         await self._wait_until_synced()
         await self._accept_callers()
-        process.keep_running(self._send_heartbeats_for_ever())
+        process.keep_running(self._send_heartbeats_forever())
         # Requests wait for the first load reports no longer than this.
         reactor.callLater(FIRST_REPORT_TIMEOUT_MS / 1000, self.placer.serve_waiting)
         process.keep_running(self.registration.run())
@@ -274,12 +274,12 @@
             self._early_socket = None
         self._listening = True
 
-    async def _announce_for_ever(self) -> None:
+    async def _announce_forever(self) -> None:
         while not self._leaving:
             self.announcer.announce()
             await asyncio.sleep(ANNOUNCE_POLL_INTERVAL_MS / 1000)
 
-    async def _send_heartbeats_for_ever(self) -> None:
+    async def _send_heartbeats_forever(self) -> None:
         """Send heartbeats to other entries while the store is down."""
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_MS / 1000)
@@ -326,7 +326,7 @@
         headers = [(b"content-type", b"application/json")]
         exchange.respond(200, headers, encode_lookup(addresses, LOOKUP_TTL_S))
 
-    def _copy(self, prefix: str, apply: t.Callable[[], None]) -> ItemCopy:
+    def _make_copy(self, prefix: str, apply: t.Callable[[], None]) -> ItemCopy:
         return ItemCopy(prefix, self.health, self._clock, apply)
 
     def _note_restored(self) -> None:
@@ -335,7 +335,7 @@
         self.figures.recheck(self.routes.configuration)
 
     def _apply_configuration(self) -> None:
-        item = self._configuration_items.items.get("")
+        item = self._configuration_copy.items.get("")
         if (
             item is None
             or item.value is None
@@ -352,17 +352,17 @@
         limits.idle_ms = configuration.limits.idle_ms
 
     def _apply_upstreams(self) -> None:
-        self.fleet.apply(self._upstream_items.items)
+        self.fleet.apply(self._upstream_copy.items)
         self.placer.serve_waiting()
 
     def _apply_entries(self) -> None:
-        entries = self.records.decode_all(self._entry_items.items)
+        entries = self.entry_decoder.decode_all(self._entry_copy.items)
         if entries.keys() != self._entries.keys():
             log_event(Event.ENTRIES_CHANGED, entries=sorted(entries))
         self._entries = entries
 
     def _apply_held(self) -> None:
-        self.held.apply(self._held_items.items)
+        self.held.apply(self._held_copy.items)
 
     def _handle_message(self, message: Message, peer: Peer) -> None:
         handle = self._handlers.get(type(message))
--- a/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/entry_peers.py
@@ -59,7 +59,7 @@
             self._announced.pop(heartbeat.node, None)
             self._registered.pop(heartbeat.node, None)
 
-    async def read_for_ever(self) -> None:
+    async def read_forever(self) -> None:
         """Read the registrations now and at regular intervals."""
         while True:
             try:
--- a/packages/gateway/src/fuchsiahatch_gateway/fleet.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/fleet.py
@@ -68,7 +68,8 @@
     on_departed : callable
         Called with the entry of each upstream that leaves, is removed or restarts.
     on_restarted : callable
-        Called with the previous incarnation of each upstream that restarts.
+        Called with the record of the previous incarnation of each upstream that
+        restarts.
     engine_of : callable
         Returns the engine model of a service whose agents report the load of its
         engines; None for a plain service.
@@ -213,8 +214,8 @@
 
     def is_usable(self, upstream: Upstream) -> bool:
         """Return whether an upstream may still get new requests."""
-        known = self.upstreams.get(upstream.entry.instance)
-        return known is upstream and upstream.accepts_requests
+        current = self.upstreams.get(upstream.entry.instance)
+        return current is upstream and upstream.accepts_requests
 
     def choose(
         self, service: str, tried: t.Collection[str], only_unlimited: bool = False
@@ -320,31 +321,31 @@
 
     def _apply_entry(self, entry: UpstreamEntry, item: "Item") -> None:
         instance = entry.instance
-        known = self.upstreams.get(instance)
-        if known is None:
+        upstream = self.upstreams.get(instance)
+        if upstream is None:
             now_ms = self._clock.now_ms()
             self.upstreams[instance] = Upstream(
                 entry, born_ms=entry.born_ms, seen_ms=now_ms, entry_version=item.told
             )
             log_event(Event.UPSTREAM_SEEN, upstream=instance, service=entry.service)
             return
-        if 0 < entry.born_ms < known.born_ms:
+        if 0 < entry.born_ms < upstream.born_ms:
             # Of a previous incarnation; the agent has already reported the current one.
             return
-        if entry.born_ms > known.born_ms or entry.address != known.entry.address:
-            known = self._start_incarnation(known, entry, entry.born_ms)
-        if entry.leaving and not known.entry.leaving:
+        if entry.born_ms > upstream.born_ms or entry.address != upstream.entry.address:
+            upstream = self._start_incarnation(upstream, entry, entry.born_ms)
+        if entry.leaving and not upstream.entry.leaving:
             log_event(
-                Event.UPSTREAM_LEAVING, upstream=instance, own=known.local_requests
+                Event.UPSTREAM_LEAVING, upstream=instance, own=upstream.local_requests
             )
             self.on_departed(entry)
-        elif known.entry.leaving and item.era > known.entry_version[0]:
+        elif upstream.entry.leaving and item.era > upstream.entry_version[0]:
             # The store was restored from a copy in which the upstream was not leaving
             # yet. Leaving is final for an incarnation: it gets no new request.
             entry = dataclasses.replace(entry, leaving=True)
         else:
-            known.entry_version = item.told
-        known.entry = entry
+            upstream.entry_version = item.told
+        upstream.entry = entry
 
     def _start_incarnation(
         self, former: Upstream, entry: UpstreamEntry, born_ms: int
@@ -408,7 +409,7 @@
     be sent for ended incarnations, and be refused.
     """
 
-    def age(entry: UpstreamEntry) -> tuple[int, int, int]:
+    def recency(entry: UpstreamEntry) -> tuple[int, int, int]:
         # The upstream's own start time takes precedence: a store restored from an older
         # copy may have created the previous incarnation's entry at a later revision.
         item = items[entry.instance]
@@ -417,7 +418,7 @@
     newest: dict[str, UpstreamEntry] = {}
     for entry in entries.values():
         address = str(entry.address)
-        known = newest.get(address)
-        if known is None or age(known) < age(entry):
+        current = newest.get(address)
+        if current is None or recency(current) < recency(entry):
             newest[address] = entry
     return {entry.instance: entry for entry in newest.values()}
--- a/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/group_leader.py
@@ -68,7 +68,7 @@
     holds_lease : callable
         Whether the leader's lease is valid.
     is_sole_leader : callable
-        Whether it is, and no earlier leader can still order engines.
+        Whether the lease is valid and no earlier leader can still give orders.
     store_unreachable : callable
         Whether the store doesn't answer, so that the lease can't be renewed.
     """
@@ -175,7 +175,7 @@
         if state.group != self._group:
             return
         if state.sequence <= self._sequences.get(state.upstream, 0):
-            # It is late, or the agent has restarted and counts from one again.
+            # The state is late, or the agent has restarted and counts from one again.
             if state.sequence > 3:
                 return
         self._sequences[state.upstream] = state.sequence
@@ -257,7 +257,7 @@
         While the store is unreachable the lease expires and nobody can win another. The
         leader continues as long as every agent of the group acknowledges its term: an
         agent that has seen a later one refuses, and there is no switch without all
-        ranks. It calls no engine itself then, as an engine refuses nobody. A leader
+        ranks. It calls no engine itself then, as engines check no terms. A leader
         that stopped with its lease would leave its group on an old map in an outage of
         8 s, and 7 of 10 requests of the last four seconds would be late.
         """
@@ -350,12 +350,12 @@
         if order.kind is OrderKind.HOLD:
             self._tasks.begin(self._apply_hold(order))
             return
-        speaker = self._silent.direct_client(order.rank)
-        if speaker is not None:
+        client = self._silent.direct_client(order.rank)
+        if client is not None:
             # Only the standby's agent can agree to a commit.
             if not self._authority.is_sole_leader() or order.kind is OrderKind.COMMIT:
                 return
-            self._tasks.begin(self._apply_directly(speaker, order))
+            self._tasks.begin(self._apply_directly(client, order))
             return
         peer = self._peers.get(order.rank)
         if peer is None:
@@ -374,7 +374,7 @@
             log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
 
     async def _apply_hold(self, order: Order) -> None:
-        """Send a hold to the standby's engine, and ask the standby for its effect.
+        """Send a hold to the standby's engine, and ask the standby for its state.
 
         It is not sent through the standby's agent: if that host were suspended right
         after the hold, it would be suspended with it, and nobody could end it.
@@ -395,8 +395,8 @@
         self.switch.observe(self._add_known_experts(report), self._clock.now_ms())
         self.work()
 
-    async def _apply_directly(self, speaker: RankAgent, order: Order) -> None:
-        result = await speaker.apply_order(order)
+    async def _apply_directly(self, client: RankAgent, order: Order) -> None:
+        result = await client.apply_order(order)
         self.switch.answered(order, result, self._clock.now_ms())
 
     def _note_phase(self, now_ms: int) -> None:
--- a/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/known_upstream.py
@@ -14,9 +14,10 @@
 FAILURE_HALF_LIFE_MS = 2_000
 #: Decayed failures below this count as none; otherwise an old one decides all ties.
 MIN_FAILURES = 0.05
-#: Silence of an agent after which its upstream is chosen last, in usual intervals
-#: between its reports and at least: its host may have stalled. Otherwise it looks less
-#: loaded than all others from then on, and most requests go to an unreachable engine.
+#: Silence of an agent after which its upstream is chosen last, as a multiple of the
+#: usual interval between its reports, and its minimum. The host may have stalled, and
+#: the load known here would stay below that of all other upstreams, so that most
+#: requests would go to an unreachable engine.
 SILENCE_REPORT_INTERVALS = 4.0
 MIN_SILENCE_MS = 300
 #: Weight of the latest interval between two reports in their running mean.
@@ -134,7 +135,7 @@
         self.reported_ms = now_ms
 
     def places(self, engine: "Engine | None", fastest_pace: float) -> float:
-        """Return how many requests it may have at once; fewer where it is slow.
+        """Return its number of slots, which is lower while it is slow.
 
         Parameters
         ----------
--- a/packages/gateway/src/fuchsiahatch_gateway/leadership.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/leadership.py
@@ -119,7 +119,7 @@
     renewal_unanswered : bool
         Whether the last renewal has no answer, so that the lease's state is unknown.
     found_leader : LeaderRecord or None
-        Another agent that leads, if the last attempt to win found one.
+        The agent that leads, if the last attempt to win found another one's key.
     settled_era : SettledEra
     """
 
@@ -168,9 +168,9 @@
     def is_sole_leader(self) -> bool:
         """Whether no earlier leader can still believe that it holds its lease.
 
-        Engines refuse nobody, so two leaders must not both order them. Usually the
-        lease of one has expired before another can win, but a store that was restored
-        from an older copy has lost it.
+        Engines check no terms, so two leaders must never give them orders at the same
+        time. Usually the lease of one has expired before another can win, but a store
+        that was restored from an older copy has lost it.
         """
         return self.holds_lease and self.settled_era.settled
 
--- a/packages/gateway/src/fuchsiahatch_gateway/reporting.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/reporting.py
@@ -70,7 +70,7 @@
 
     Parameters
     ----------
-    rank : RankAgent
+    rank_agent : RankAgent
     datagrams : DatagramPort
     clock : Clock
     link_bytes_per_s : float
@@ -85,7 +85,7 @@
         "_link_bytes_per_s",
         "_load_sent_ms",
         "_max_running",
-        "_rank",
+        "_rank_agent",
         "_reported_load",
         "_reported_map",
         "_reported_open",
@@ -94,12 +94,12 @@
 
     def __init__(
         self,
-        rank: "RankAgent",
+        rank_agent: "RankAgent",
         datagrams: DatagramPort,
         clock: "Clock",
         link_bytes_per_s: float,
     ) -> None:
-        self._rank = rank
+        self._rank_agent = rank_agent
         self._datagrams = datagrams
         self._clock = clock
         self._link_bytes_per_s = link_bytes_per_s
@@ -137,11 +137,11 @@
 
     @property
     def _choices_interval_ms(self) -> float:
-        report = self._rank.last_report
+        report = self._rank_agent.last_report
         if report is None:
             return 0.0
         bytes_per_ms = CHOICES_LINK_SHARE * self._link_bytes_per_s / 1000
-        return report.ranks * self._rank.choices_bytes / bytes_per_ms
+        return report.ranks * self._rank_agent.choices_bytes / bytes_per_ms
 
     def trim(self, state: RankState, leader_term: int) -> RankState:
         """Leave out the experts if the leader of a term has received them already."""
@@ -159,7 +159,7 @@
 
     def send_load(self, entries: t.Collection[Peer]) -> None:
         """Report the engine's load to the entries, if a report is due."""
-        report, now_ms = self._rank.last_report, self._clock.now_ms()
+        report, now_ms = self._rank_agent.last_report, self._clock.now_ms()
         if report is None:
             return
         self._max_running = max(self._max_running, report.running)
@@ -181,20 +181,20 @@
 
     def send_load_to(self, entry: Peer) -> None:
         """Report the engine's load to one entry that has asked for it."""
-        if self._rank.last_report is not None:
+        if self._rank_agent.last_report is not None:
             self._datagrams.send_encoded(
-                self._encode_load(self._rank.last_report), entry
+                self._encode_load(self._rank_agent.last_report), entry
             )
 
     def _encode_load(self, report: "EngineReport") -> bytes:
         load = LoadReport(
-            self._rank.address,
+            self._rank_agent.address,
             report.queued,
             report.running,
             report.pace,
             report.open,
             report.group,
-            round(self._rank.pass_ms, 1),
+            round(self._rank_agent.pass_ms, 1),
             report.born_ms,
         )
         return encode(load)
--- a/packages/gateway/src/fuchsiahatch_gateway/silent_agents.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/silent_agents.py
@@ -47,8 +47,8 @@
     Parameters
     ----------
     group : str
-    term, own_rank, ranks : int
-    engine_of : callable
+    term, local_rank, ranks : int
+    connect_engine : callable
         Makes a client of the engine at an address.
     list_engines : coroutine function
         Returns the addresses of all engines of the service.
@@ -61,13 +61,13 @@
     __slots__ = (
         "_addresses",
         "_clients",
+        "_connect_engine",
         "_contact_ms",
-        "_engine_of",
         "_group",
         "_list_engines",
+        "_local_rank",
         "_max_polls",
         "_on_report",
-        "_own_rank",
         "_poll_interval_ms",
         "_polled_ms",
         "_polling",
@@ -82,18 +82,18 @@
         self,
         group: str,
         term: int,
-        own_rank: int,
+        local_rank: int,
         ranks: int,
-        engine_of: t.Callable[[str], "ModelEngine"],
+        connect_engine: t.Callable[[str], "ModelEngine"],
         list_engines: t.Callable[[], t.Awaitable[t.Sequence[str]]],
         on_report: t.Callable[[RankReport], None],
         link_bytes_per_s: float,
     ) -> None:
         self._group = group
         self._term = term
-        self._own_rank = own_rank
+        self._local_rank = local_rank
         self._ranks = ranks
-        self._engine_of = engine_of
+        self._connect_engine = connect_engine
         self._list_engines = list_engines
         self._on_report = on_report
         self._addresses: dict[int, str] = {}
@@ -108,7 +108,7 @@
         self._max_polls = max(int(budget_bytes / POLL_BYTES), MIN_CONCURRENT_POLLS)
         self._tasks = Tasks()
 
-    def note_contact(self, rank: int, address: str, heard_ms: int) -> None:
+    def note_contact(self, rank: int, address: str, active_ms: int) -> None:
         """Note a message from a rank's agent.
 
         Parameters
@@ -116,11 +116,11 @@
         rank : int
         address : str
             Address of the rank's engine.
-        heard_ms : int
-            Time for which agents could be heard, by the clock of `StallAwareClock`.
+        active_ms : int
+            Time by `StallAwareClock`, which stops while this process is stalled.
         """
         self._addresses[rank] = address
-        self._contact_ms[rank] = heard_ms
+        self._contact_ms[rank] = active_ms
         self._clients.pop(rank, None)
 
     def address(self, rank: int) -> str | None:
@@ -132,9 +132,9 @@
         following = ((rank + step) % self._ranks for step in range(1, self._ranks))
         return next(
             (
-                one
-                for one in following
-                if one in self._contact_ms and not self.direct_client(one)
+                candidate
+                for candidate in following
+                if candidate in self._contact_ms and not self.direct_client(candidate)
             ),
             None,
         )
@@ -143,35 +143,35 @@
         """Return the leader's client of a rank's engine if the agent is silent."""
         return self._clients.get(rank)
 
-    def work(self, phase: Phase, heard_ms: int, now_ms: int) -> None:
+    def work(self, phase: Phase, active_ms: int, now_ms: int) -> None:
         """Poll the engines of silent agents.
 
         Parameters
         ----------
         phase : Phase
             Phase of the switch, which decides the polling interval.
-        heard_ms : int
-            Time for which agents could be heard, by the clock of `StallAwareClock`.
+        active_ms : int
+            Time by `StallAwareClock`, which stops while this process is stalled.
         now_ms : int
         """
         self._poll_interval_ms = (
             HELD_POLL_INTERVAL_MS if phase in _HOLDING_PHASES else POLL_INTERVAL_MS
         )
         if self._started_ms is None:
-            self._started_ms = heard_ms
-        for rank in self._silent_ranks(heard_ms - SILENCE_TIMEOUT_MS):
+            self._started_ms = active_ms
+        for rank in self._silent_ranks(active_ms - SILENCE_TIMEOUT_MS):
             self._poll(rank, now_ms)
 
     def _silent_ranks(self, until_ms: int) -> list[int]:
         """Return ranks without contact since a time, least recently polled first.
 
-        The leader's own rank is never among them.
+        The leader's rank is never among them.
         """
         started_ms = self._started_ms or 0
         silent = (
             rank
             for rank in range(self._ranks)
-            if rank != self._own_rank
+            if rank != self._local_rank
             and self._contact_ms.get(rank, started_ms) <= until_ms
         )
         return sorted(silent, key=lambda rank: self._polled_ms.get(rank, 0))
@@ -223,7 +223,7 @@
     ) -> None:
         try:
             async with semaphore:
-                report = await self._engine_of(address).report()
+                report = await self._connect_engine(address).report()
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, address=address, detail=fault.detail)
             return
@@ -242,6 +242,6 @@
             self._polling.discard(rank)
 
     def _make_client(self, address: str) -> RankAgent:
-        client = RankAgent(self._engine_of(address), address)
+        client = RankAgent(self._connect_engine(address), address)
         client.note_term(self._term)
         return client
--- a/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/takeovers.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    rank : RankAgent
+    rank_agent : RankAgent
     peer : Peer
         Where this agent receives datagrams.
     clock : Clock
@@ -46,7 +46,7 @@
         "_clock",
         "_make_leader",
         "_peer",
-        "_rank",
+        "_rank_agent",
         "_report_state",
         "_standby",
         "leader",
@@ -55,13 +55,13 @@
 
     def __init__(
         self,
-        rank: "RankAgent",
+        rank_agent: "RankAgent",
         peer: Peer,
         clock: "Clock",
         make_leader: MakeLeader,
         report_state: t.Callable[[], None],
     ) -> None:
-        self._rank = rank
+        self._rank_agent = rank_agent
         self._peer = peer
         self._clock = clock
         self._make_leader = make_leader
@@ -79,15 +79,15 @@
 
     def accept(self, notice: TakeoverNotice, peer: Peer) -> None:
         """Accept a takeover; passes are held, so report this rank's state at once."""
-        report = self._rank.last_report
+        report = self._rank_agent.last_report
         if (
             report is None
             or report.group != notice.group
-            or notice.term < self._rank.term
+            or notice.term < self._rank_agent.term
         ):
             return
         self.records[notice.group] = LeaderRecord(notice.group, notice.term, peer)
-        self._rank.note_term(notice.term)
+        self._rank_agent.note_term(notice.term)
         self._report_state()
 
     async def work(self) -> None:
@@ -102,18 +102,18 @@
         ):
             return
         try:
-            report = await self._rank.read_report()
+            report = await self._rank_agent.read_report()
         except PlatformError as fault:
             log_event(Event.UPSTREAM_SILENT, detail=fault.detail)
             return
-        if report.held is not None and self._rank.term == notice.term:
+        if report.held is not None and self._rank_agent.term == notice.term:
             self._begin(notice, report)
         self._standby.forget()
 
     def _begin(self, notice: StandbyNotice, report: "EngineReport") -> None:
         term = takeover_term(notice.term)
         log_event(Event.TAKEOVER_BEGUN, group=notice.group, term=term, step=report.held)
-        self._rank.note_term(term)
+        self._rank_agent.note_term(term)
         self.leader = self._make_leader(notice, report, term)
         self.leader.add_peers(notice.peers)
         self.records[notice.group] = LeaderRecord(notice.group, term, self._peer)
--- a/tests/gateway/delivery_model.py
+++ b/tests/gateway/delivery_model.py
@@ -28,7 +28,7 @@
 
 TIMEOUT_MS = 1_200
 #: Time for which an upstream may go on working after the caller has disconnected.
-GONE_MS = 50
+DISCONNECT_GRACE_MS = 50
 #: Time after a request's deadline within which its final answer must be sent.
 FINAL_MS = 50
 #: Tolerance for times that are rounded to milliseconds.
@@ -227,7 +227,7 @@
         if ask.leaves_ms is None:
             late_ms = self.clock.now_ms() - began_ms
             self.faults.append(f"{exchange.request_id} had no answer at {late_ms} ms")
-        await asyncio.sleep(GONE_MS / 1000)
+        await asyncio.sleep(DISCONNECT_GRACE_MS / 1000)
         for run in self.runs:
             if run.request_id == exchange.request_id and run.working:
                 self.faults.append(f"{exchange.request_id} outlived its caller")
--- a/tests/gateway/test_engine_figures.py
+++ b/tests/gateway/test_engine_figures.py
@@ -6,7 +6,7 @@
 from fuchsiahatch_adapter.configuration import decode_configuration
 from fuchsiahatch_gateway.defaults import ENGINES_PREFIX
 from fuchsiahatch_gateway.engine_figures import (
-    WRITERS,
+    MAX_WRITERS,
     EngineFigures,
     FiguresWriter,
     decode_engine_figures,
@@ -148,7 +148,7 @@
         # Guards against hundreds of entries that read and write the item at once.
         stored, calls = self.play(lambda writers: writers.note(3), range(100))
         self.assertEqual(stored.engine, ENGINE)
-        self.assertLessEqual(len(calls), WRITERS + 1)
+        self.assertLessEqual(len(calls), MAX_WRITERS + 1)
 
     def test_a_change_of_routes_alone_writes_nothing(self):
         async def change(writers):
--- a/tests/gateway/test_entry_peers.py
+++ b/tests/gateway/test_entry_peers.py
@@ -35,7 +35,7 @@
             async with Served() as served:
                 register(served.store, "e-1", 1)
                 peers = EntryPeers(served.client, Clock())
-                task = asyncio.ensure_future(peers.read_for_ever())
+                task = asyncio.ensure_future(peers.read_forever())
                 await until(lambda: peers.peers)
                 before = len(served.store.calls)
                 for number in range(2, 20):
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -26,8 +26,8 @@
         clock = Clock()
         access = StoreAccess(Address("127.0.0.1", port), 1_000, 20_000)
         self.client = StoreClient(access, ConnectionPool(clock))
-        self.one = Leadership(self.client, "side-1", ("10.0.0.1", 7), clock)
-        self.other = Leadership(self.client, "side-2", ("10.0.0.2", 7), clock)
+        self.first = Leadership(self.client, "side-1", ("10.0.0.1", 7), clock)
+        self.second = Leadership(self.client, "side-2", ("10.0.0.2", 7), clock)
         return self
 
     async def __aexit__(self, *exc_info):
@@ -38,14 +38,14 @@
     def test_one_candidate_wins_and_terms_rise(self):
         async def elect():
             async with Election() as election:
-                self.assertTrue(await election.one.try_win("g", 0, None))
-                self.assertFalse(await election.other.try_win("g", 0, None))
-                first = election.one.term
-                await election.one.release()
-                self.assertFalse(election.one.holds_lease)
+                self.assertTrue(await election.first.try_win("g", 0, None))
+                self.assertFalse(await election.second.try_win("g", 0, None))
+                first = election.first.term
+                await election.first.release()
+                self.assertFalse(election.first.holds_lease)
                 await asyncio.sleep(ELECTION_RETRY_INTERVAL_MS / 1000)
-                self.assertTrue(await election.other.try_win("g", 0, None))
-                return first, election.other.term
+                self.assertTrue(await election.second.try_win("g", 0, None))
+                return first, election.second.term
 
         first, second = run(elect())
         self.assertGreater(second, first)
@@ -53,8 +53,8 @@
     def test_an_agent_replaces_its_earlier_incarnation_at_once(self):
         async def elect():
             async with Election() as election:
-                await election.one.try_win("g", 0, None)
-                term = election.one.term
+                await election.first.try_win("g", 0, None)
+                term = election.first.term
                 again = Leadership(election.client, "side-1", ("10.0.0.1", 7), Clock())
                 known = LeaderRecord("g", term, ("10.0.0.1", 7))
                 self.assertTrue(await again.try_win("g", 0, known))
@@ -68,9 +68,9 @@
         # its earlier incarnation: two leaders would order one group.
         async def elect():
             async with Election() as election:
-                await election.other.try_win("g", 0, None)
+                await election.second.try_win("g", 0, None)
                 stale = LeaderRecord("g", 1, ("10.0.0.1", 7))
-                self.assertFalse(await election.one.try_win("g", 0, stale))
+                self.assertFalse(await election.first.try_win("g", 0, stale))
                 with self.assertRaises(ConflictError):
                     await election.client.remove(KEY, 1)
                 return election.store.keys(KEY)
@@ -82,13 +82,13 @@
         # the store refuse the calls of all agents and entries.
         async def elect():
             async with Election() as election:
-                await election.other.try_win("g", 0, None)
+                await election.second.try_win("g", 0, None)
                 before = len(election.store.calls)
                 former = LeaderRecord("g", 1, ("10.0.0.1", 7))
                 for _ in range(50):
-                    await election.one.try_win("g", 0, former)
+                    await election.first.try_win("g", 0, former)
                     await asyncio.sleep(0.01)
-                return len(election.store.calls) - before, election.one.found_leader
+                return len(election.store.calls) - before, election.first.found_leader
 
         calls, leader = run(elect())
         self.assertLessEqual(calls, 4)
@@ -97,13 +97,13 @@
     def test_a_lease_that_is_not_renewed_ends_by_its_holders_clock(self):
         async def elect():
             async with Election() as election:
-                await election.one.try_win("g", 0, None)
-                renewing = asyncio.ensure_future(election.one.renew_forever())
+                await election.first.try_win("g", 0, None)
+                renewing = asyncio.ensure_future(election.first.renew_forever())
                 await asyncio.sleep(1.8)
-                self.assertTrue(election.one.holds_lease)
+                self.assertTrue(election.first.holds_lease)
                 election.store.faults.silent = True
                 await asyncio.sleep(1.9)
                 renewing.cancel()
-                return election.one.holds_lease
+                return election.first.holds_lease
 
         self.assertFalse(run(elect()))
