--- a/packages/bench/src/fuchsiahatch_bench/routing_model.py
+++ b/packages/bench/src/fuchsiahatch_bench/routing_model.py
@@ -163,7 +163,7 @@
     def _report(self, _: None) -> None:
         for number, upstream in enumerate(self._upstreams):
             for entry in self._entries:
-                entry.note(str(number), upstream.load)
+                entry.record_report(str(number), upstream.load)
         if self._now_ms < self._model.duration_ms:
             self._at(self._now_ms + self._model.report_ms, self._report, None)
 
@@ -200,7 +200,7 @@
         upstream = self._upstreams[request.upstream]
         entry, host = self._entries[request.entry], str(request.upstream)
         if self._model.replies_tell:
-            entry.note(host, upstream.load)
+            entry.record_report(host, upstream.load)
         entry.end(host)
         upstream.running -= 1
         if request.at_ms >= self._model.warm_ms:
--- a/packages/daemon/src/fuchsiahatch_daemon/operators.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/operators.py
@@ -21,7 +21,7 @@
 )
 from fuchsiahatch_placement.edits import Edit, describe, propose
 from fuchsiahatch_placement.rosters import Voter, change_roster, decode_roster
-from fuchsiahatch_routing.candidates import Judgement, Target, judge
+from fuchsiahatch_routing.candidates import Eligibility, Target, check_eligibility
 
 if t.TYPE_CHECKING:
     from klein import Klein
@@ -79,7 +79,7 @@
         team, target = _argument(request, "team"), _argument(request, "target")
         name, _, version = target.partition("@")
         configuration = self._role.configuration
-        judgements = judge(
+        eligibilities = check_eligibility(
             configuration.snapshot,
             self._role.selection.upstreams(),
             team,
@@ -90,7 +90,7 @@
             "target": target,
             "revision": configuration.snapshot.revision,
             "fresh": configuration.fresh,
-            "upstreams": list(map(_judgement, judgements)),
+            "upstreams": list(map(_eligibility, eligibilities)),
         }
         return web.write_json(request, shown)
 
@@ -233,12 +233,12 @@
     }
 
 
-def _judgement(judgement: Judgement) -> dict[str, t.Any]:
+def _eligibility(eligibility: Eligibility) -> dict[str, t.Any]:
     return {
-        "host": judgement.upstream.home.host,
-        "zone": judgement.upstream.zone,
-        "candidate": judgement.allowed,
-        "reason": judgement.reason,
+        "host": eligibility.upstream.home.host,
+        "zone": eligibility.upstream.zone,
+        "candidate": eligibility.allowed,
+        "reason": eligibility.reason,
     }
 
 
--- a/packages/daemon/src/fuchsiahatch_daemon/selection.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/selection.py
@@ -122,7 +122,7 @@
         if kind not in ("end", "refusal"):
             return
         load = getattr(frame, kind).load
-        self._loads.note(home.host, load.in_flight + load.queued)
+        self._loads.record_report(home.host, load.in_flight + load.queued)
         if kind == "refusal":
             self.note_refusal(home, frame.refusal.code)
 
@@ -156,7 +156,7 @@
     def _note_report(self, report: HostReport) -> None:
         if self._heard_ms.get(report.host) != report.heard_ms:
             self._heard_ms[report.host] = report.heard_ms
-            self._loads.note(report.host, report.in_flight + report.queued)
+            self._loads.record_report(report.host, report.in_flight + report.queued)
 
 
 @functools.lru_cache
--- a/packages/daemon/src/fuchsiahatch_daemon/standings.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/standings.py
@@ -10,7 +10,12 @@
 from fuchsiahatch_delivery.moves import Standing
 from fuchsiahatch_delivery.tickets import Ticket, TicketHome
 from fuchsiahatch_placement.records import parse_offer
-from fuchsiahatch_routing.candidates import Target, Upstream, find_candidates, judge
+from fuchsiahatch_routing.candidates import (
+    Target,
+    Upstream,
+    check_eligibility,
+    find_candidates,
+)
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_core.clock import Clock
@@ -84,7 +89,9 @@
             live=True,
             leaving=False,
         )
-        return judge(self._configuration.snapshot, [upstream], team, target)[0].offer
+        return check_eligibility(
+            self._configuration.snapshot, [upstream], team, target
+        )[0].offer
 
     def address(self, home: Home) -> str | None:
         """Return the ``ip:port`` of a home's host, None when it is off the list."""
--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -7,7 +7,7 @@
 
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.exceptions import RefusedError
-from fuchsiahatch_routing.queues import FairQueue, Waiting
+from fuchsiahatch_routing.queues import FairQueue, QueuedRequest
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_core.clock import Clock
@@ -187,7 +187,9 @@
         expires_ms = now_ms + int(wait_ms)
         waiter = _Waiter(asyncio.get_running_loop().create_future(), tried)
         self._waiters[number] = waiter
-        pushed_out = queue.push(Waiting(number, team, urgency, now_ms, expires_ms))
+        pushed_out = queue.push(
+            QueuedRequest(number, team, urgency, now_ms, expires_ms)
+        )
         if pushed_out is not None:
             self._refuse(pushed_out.ticket)
         try:
--- a/packages/routing/src/fuchsiahatch_routing/candidates.py
+++ b/packages/routing/src/fuchsiahatch_routing/candidates.py
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Judgement:
+class Eligibility:
     """One upstream, and why it is or is not a candidate."""
 
     upstream: Upstream
@@ -72,9 +72,9 @@
         return self.offer is not None
 
 
-def judge(
+def check_eligibility(
     snapshot: "Snapshot", upstreams: t.Iterable[Upstream], team: str, target: Target
-) -> list[Judgement]:
+) -> list[Eligibility]:
     """Say of each upstream why it is or is not a candidate.
 
     Raises
@@ -107,11 +107,11 @@
     RefusedError
         When every allowed upstream is gone, leaving or absent.
     """
-    judgements = judge(snapshot, upstreams, team, target)
+    eligibilities = check_eligibility(snapshot, upstreams, team, target)
     chosen = [
-        Candidate(judgement.upstream, judgement.offer)
-        for judgement in judgements
-        if judgement.offer is not None
+        Candidate(eligibility.upstream, eligibility.offer)
+        for eligibility in eligibilities
+        if eligibility.offer is not None
     ]
     if chosen:
         return chosen
@@ -127,21 +127,21 @@
 
 def _judge_one(
     places: t.Mapping[str, t.Any], upstream: Upstream, target: Target
-) -> Judgement:
+) -> Eligibility:
     served = _matching(upstream.offers, target)
     if not served:
-        return Judgement(upstream, None, f"does not serve {target.name}")
+        return Eligibility(upstream, None, f"does not serve {target.name}")
     place = places.get(upstream.zone)
     if place is None:
-        return Judgement(upstream, None, f"zone {upstream.zone} is not allowed")
+        return Eligibility(upstream, None, f"zone {upstream.zone} is not allowed")
     allowed = sorted(served & place.offers)
     if not allowed:
-        return Judgement(upstream, None, f"version not allowed in {upstream.zone}")
+        return Eligibility(upstream, None, f"version not allowed in {upstream.zone}")
     if not upstream.live:
-        return Judgement(upstream, None, "not live")
+        return Eligibility(upstream, None, "not live")
     if upstream.leaving:
-        return Judgement(upstream, None, "leaving")
-    return Judgement(upstream, allowed[-1], "candidate")
+        return Eligibility(upstream, None, "leaving")
+    return Eligibility(upstream, allowed[-1], "candidate")
 
 
 def _matching(offers: frozenset[Offer], target: Target) -> frozenset[Offer]:
--- a/packages/routing/src/fuchsiahatch_routing/limits.py
+++ b/packages/routing/src/fuchsiahatch_routing/limits.py
@@ -7,7 +7,7 @@
 
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.defaults import RETRY_AFTER_MS
-from fuchsiahatch_routing.queues import Waiting
+from fuchsiahatch_routing.queues import QueuedRequest
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_routing.queues import Queue
@@ -111,7 +111,7 @@
         """
         self._counter += 1
         ticket = self._counter
-        waiting = Waiting(ticket, team, priority, now_ms, now_ms + deadline_ms)
+        waiting = QueuedRequest(ticket, team, priority, now_ms, now_ms + deadline_ms)
         if self._cannot_meet(waiting, now_ms):
             detail = f"the queue here leaves no time for a deadline of {deadline_ms} ms"
             return ticket, [self._refuse(waiting, Code.DEADLINE_TOO_NEAR, detail)]
@@ -151,7 +151,7 @@
         """Take a request out of the queue; False when it doesn't wait there."""
         return self._queue.remove(ticket) is not None
 
-    def _cannot_meet(self, waiting: Waiting, now_ms: int) -> bool:
+    def _cannot_meet(self, waiting: QueuedRequest, now_ms: int) -> bool:
         # With a place free a request is always let in, however slow the estimate
         # says it will be: only what runs corrects the estimate, and one slow
         # spell would else refuse short deadlines for ever.
@@ -170,7 +170,7 @@
             effects.append(self._start(taken, charged_ms, now_ms))
         return effects
 
-    def _start(self, taken: Waiting, charged_ms: float, now_ms: int) -> Effect:
+    def _start(self, taken: QueuedRequest, charged_ms: float, now_ms: int) -> Effect:
         if taken.expires_ms <= now_ms:
             self._queue.correct(taken.team, -charged_ms)
             detail = "the deadline passed in the queue"
@@ -189,7 +189,7 @@
         per_place_ms = (self._service_ms or 0.0) / self.limit
         return self._queue.turns_before(team) * per_place_ms
 
-    def _refuse(self, waiting: Waiting, code: Code, detail: str) -> Refuse:
+    def _refuse(self, waiting: QueuedRequest, code: Code, detail: str) -> Refuse:
         wait_ms = RETRY_AFTER_MS
         if self._service_ms is not None:
             wait_ms = math.ceil(self._wait_ms(waiting.team))
--- a/packages/routing/src/fuchsiahatch_routing/loads.py
+++ b/packages/routing/src/fuchsiahatch_routing/loads.py
@@ -57,7 +57,7 @@
         self._outstanding[host] -= 1
         self._sum_outstanding -= 1
 
-    def note(self, host: str, load: int) -> None:
+    def record_report(self, host: str, load: int) -> None:
         """Take over what a host said of its load: running and waiting."""
         self._forget_report(host)
         own = self._outstanding[host]
--- a/packages/routing/src/fuchsiahatch_routing/queues.py
+++ b/packages/routing/src/fuchsiahatch_routing/queues.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits for a place.
 
     Attributes
@@ -49,16 +49,16 @@
     def __len__(self) -> int:
         """Return how many wait."""
 
-    def __iter__(self) -> t.Iterator[Waiting]:
+    def __iter__(self) -> t.Iterator[QueuedRequest]:
         """Iterate over all that wait, in no set order."""
 
-    def push(self, waiting: Waiting) -> Waiting | None:
+    def push(self, waiting: QueuedRequest) -> QueuedRequest | None:
         """Add a request; return the one that must go when the queue is full."""
 
-    def pop(self, cost_ms: float) -> Waiting | None:
+    def pop(self, cost_ms: float) -> QueuedRequest | None:
         """Take the next request out, and charge its team an expected cost."""
 
-    def remove(self, ticket: int) -> Waiting | None:
+    def remove(self, ticket: int) -> QueuedRequest | None:
         """Take one request out of turn."""
 
     def correct(self, team: str, cost_ms: float) -> None:
@@ -87,26 +87,26 @@
 
     def __init__(self, max_waiting: int) -> None:
         self._max_waiting = max_waiting
-        self._waiting: dict[int, Waiting] = {}
+        self._waiting: dict[int, QueuedRequest] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def __iter__(self) -> t.Iterator[Waiting]:
+    def __iter__(self) -> t.Iterator[QueuedRequest]:
         return iter(list(self._waiting.values()))
 
-    def push(self, waiting: Waiting) -> Waiting | None:
+    def push(self, waiting: QueuedRequest) -> QueuedRequest | None:
         """Add a request, or return it when the queue is full."""
         if len(self) >= self._max_waiting:
             return waiting
         self._waiting[waiting.ticket] = waiting
         return None
 
-    def pop(self, cost_ms: float) -> Waiting | None:
+    def pop(self, cost_ms: float) -> QueuedRequest | None:
         """Take the oldest request out."""
         return self.remove(next(iter(self._waiting), -1))
 
-    def remove(self, ticket: int) -> Waiting | None:
+    def remove(self, ticket: int) -> QueuedRequest | None:
         """Take one request out."""
         return self._waiting.pop(ticket, None)
 
@@ -127,7 +127,7 @@
     __slots__ = ("classes", "overtakes", "size", "tag", "weight")
 
     def __init__(self, tag: float, weight: float) -> None:
-        self.classes: tuple[collections.deque[Waiting], ...] = tuple(
+        self.classes: tuple[collections.deque[QueuedRequest], ...] = tuple(
             collections.deque() for _ in range(PRIORITY_CLASSES)
         )
         self.overtakes = 0
@@ -135,15 +135,15 @@
         self.tag = tag
         self.weight = weight
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedRequest) -> None:
         self.classes[_class_of(waiting)].append(waiting)
         self.size += 1
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         self.classes[_class_of(waiting)].remove(waiting)
         self.size -= 1
 
-    def drop_newest(self) -> Waiting:
+    def drop_newest(self) -> QueuedRequest:
         self.size -= 1
         return next(kept for kept in reversed(self.classes) if kept).pop()
 
@@ -153,7 +153,7 @@
             return waiting[0]
         return min(waiting, key=lambda number: self.classes[number][0].ticket)
 
-    def take(self) -> Waiting:
+    def take(self) -> QueuedRequest:
         taken = self.classes[self.head_class()].popleft()
         self.size -= 1
         overtook = any(kept and kept[0].ticket < taken.ticket for kept in self.classes)
@@ -201,11 +201,11 @@
     def __len__(self) -> int:
         return self._size
 
-    def __iter__(self) -> t.Iterator[Waiting]:
+    def __iter__(self) -> t.Iterator[QueuedRequest]:
         kept = [kept for lane in self._lanes.values() for kept in lane.classes]
         return iter(list(itertools.chain.from_iterable(kept)))
 
-    def push(self, waiting: Waiting) -> Waiting | None:
+    def push(self, waiting: QueuedRequest) -> QueuedRequest | None:
         """Add a request; return the one that must go when the queue is full."""
         lane = self._lane(waiting.team)
         if not lane.size:
@@ -216,7 +216,7 @@
             return None
         return self._push_out()
 
-    def pop(self, cost_ms: float) -> Waiting | None:
+    def pop(self, cost_ms: float) -> QueuedRequest | None:
         """Take the next request out, and charge its team an expected cost."""
         lanes = [lane for lane in self._lanes.values() if lane.size]
         if not lanes:
@@ -229,7 +229,7 @@
         self._forget_paid()
         return taken
 
-    def remove(self, ticket: int) -> Waiting | None:
+    def remove(self, ticket: int) -> QueuedRequest | None:
         """Take one request out of turn."""
         found = next((waiting for waiting in self if waiting.ticket == ticket), None)
         if found is not None:
@@ -269,7 +269,7 @@
         # A share of 0 would be a lane that never has its turn.
         return max(self._share_of(team), _LEAST_SHARE)
 
-    def _push_out(self) -> Waiting:
+    def _push_out(self) -> QueuedRequest:
         lane = max(self._lanes.values(), key=lambda lane: lane.size / lane.weight)
         self._size -= 1
         return lane.drop_newest()
@@ -287,7 +287,7 @@
 _LEAST_SHARE = 0.01
 
 
-def _class_of(waiting: Waiting) -> int:
+def _class_of(waiting: QueuedRequest) -> int:
     return min(max(waiting.priority, 0), PRIORITY_CLASSES - 1)
 
 
--- a/tests/routing/test_loads.py
+++ b/tests/routing/test_loads.py
@@ -31,7 +31,7 @@
             for table in tables:
                 table.begin(HOSTS[7])
                 for host in HOSTS:
-                    table.note(host, 0 if host == HOSTS[0] else 6)
+                    table.record_report(host, 0 if host == HOSTS[0] else 6)
             return send(tables, 48, random.Random(2))
 
         self.assertGreaterEqual(spread(0.0)[HOSTS[0]], 36)
@@ -40,7 +40,7 @@
     def test_report_is_joined_with_own_work_since(self):
         table = LoadTable(own_weight=0.0)
         table.begin("engine-0")
-        table.note("engine-0", 4)
+        table.record_report("engine-0", 4)
         table.begin("engine-0")
         self.assertEqual(table.load_of("engine-0"), 5)
         table.end("engine-0")
@@ -50,7 +50,7 @@
     def test_forgets_replaced_hosts(self):
         table = LoadTable()
         for host in HOSTS:
-            table.note(host, 5)
+            table.record_report(host, 5)
         table.retain({HOSTS[0]})
         self.assertEqual(len(table), 1)
         self.assertEqual(table.load_of(HOSTS[1]), 0)
--- a/tests/routing/test_queues.py
+++ b/tests/routing/test_queues.py
@@ -3,14 +3,14 @@
 import random
 import unittest
 
-from fuchsiahatch_routing.queues import FairQueue, Waiting
+from fuchsiahatch_routing.queues import FairQueue, QueuedRequest
 
 TICKETS = itertools.count(1)
 
 
 def fill(queue, team, count, priority=1):
     return [
-        queue.push(Waiting(next(TICKETS), team, priority, 0, 1_000))
+        queue.push(QueuedRequest(next(TICKETS), team, priority, 0, 1_000))
         for _ in range(count)
     ]
 
