--- a/packages/routing/src/fuchsiahatch_routing/budgets.py
+++ b/packages/routing/src/fuchsiahatch_routing/budgets.py
@@ -1,33 +1,34 @@
-"""A budget for retries: a small part of the request rate."""
+"""Retry budget: limits retries to a fraction of the request rate."""
 
 import dataclasses
 
-#: Retries allowed for each first try.
+#: Retries allowed for each first attempt.
 RETRY_RATIO = 0.1
-#: Retries a second allowed however few requests there are.
+#: Retries per second allowed at any request rate.
 RETRY_FLOOR_PER_S = 1.0
-#: Most retries that may be saved up.
+#: Retries that unused budget accumulates to at most.
 RETRY_BURST = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class RetryBudget:
-    """A token bucket that first tries fill and retries empty.
+    """Token bucket that first attempts fill and retries drain.
 
     Parameters
     ----------
     ratio : float
-        Tokens that each first try brings.
+        Tokens added by each first attempt.
     floor_per_s : float
-        Tokens that each second brings.
+        Tokens added per second.
     burst : float
-        Most tokens kept.
+        Capacity of the bucket in tokens.
 
     Notes
     -----
     Guards against a retry storm: when every upstream refuses, each request
-    would be tried as often as attempts are allowed, and the load on what is
-    overloaded would be multiplied. With the budget it grows by `ratio` at most.
+    would use all of its attempts and multiply the load on upstreams that are
+    overloaded already. With the budget, load grows by `ratio` at most, beside the
+    retries of `floor_per_s` and `burst`.
 
     .. versionadded:: 0.1
     """
@@ -36,28 +37,28 @@
     floor_per_s: float = RETRY_FLOOR_PER_S
     burst: float = RETRY_BURST
     _tokens: float = dataclasses.field(init=False)
-    _filled_ms: int | None = dataclasses.field(init=False, default=None)
+    _refilled_ms: int | None = dataclasses.field(init=False, default=None)
 
     def __post_init__(self) -> None:
         self._tokens = self.burst
 
     def note_request(self, now_ms: int) -> None:
-        """Count a first try."""
-        self._fill(now_ms)
+        """Count a first attempt."""
+        self._refill(now_ms)
         self._add(self.ratio)
 
     def take(self, now_ms: int) -> bool:
         """Take a token for a retry; False when none is left."""
-        self._fill(now_ms)
+        self._refill(now_ms)
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
-    def _fill(self, now_ms: int) -> None:
-        if self._filled_ms is not None:
-            self._add(self.floor_per_s * (now_ms - self._filled_ms) / 1_000)
-        self._filled_ms = now_ms
+    def _refill(self, now_ms: int) -> None:
+        if self._refilled_ms is not None:
+            self._add(self.floor_per_s * (now_ms - self._refilled_ms) / 1_000)
+        self._refilled_ms = now_ms
 
     def _add(self, tokens: float) -> None:
         self._tokens = min(self.burst, self._tokens + tokens)
--- a/packages/routing/src/fuchsiahatch_routing/candidates.py
+++ b/packages/routing/src/fuchsiahatch_routing/candidates.py
@@ -1,4 +1,4 @@
-"""Which upstreams may serve a request, and why the others may not."""
+"""Which upstreams may serve a request, and why the rest may not."""
 
 import dataclasses
 import typing as t
@@ -13,21 +13,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Upstream:
-    """An upstream as routing sees it.
+    """State of an upstream that routing decides by.
 
     Attributes
     ----------
     home : Home
-        The agent beside it, in its present life.
+        The current incarnation of the agent on its host.
     zone : str
     address : str
         ``ip:port`` of the agent.
     offers : frozenset of Offer
     live, leaving : bool
     in_flight, queued, limit : int
-        Load by the agent's last word plus what this entry has outstanding.
+        Load by the agent's latest report plus what this entry has outstanding.
     straggling : bool
-        Whether an agent has lately reported its rank to hold a group back.
+        Whether an agent recently reported that its rank slows its group down.
     """
 
     home: Home
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """What a caller asks for: a name, and a version or any."""
+    """What a caller asks for: a name and a version; an empty version means any."""
 
     name: str
     version: str = ""
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Eligibility:
-    """One upstream, and why it is or is not a candidate."""
+    """Whether one upstream is a candidate, and the reason."""
 
     upstream: Upstream
     offer: Offer | None
@@ -75,7 +75,7 @@
 def check_eligibility(
     snapshot: "Snapshot", upstreams: t.Iterable[Upstream], team: str, target: Target
 ) -> list[Eligibility]:
-    """Say of each upstream why it is or is not a candidate.
+    """Return for each upstream whether it is a candidate, and the reason.
 
     Raises
     ------
@@ -92,7 +92,9 @@
     if placement.closed_reason:
         detail = f"team {team!r} is closed here: {placement.closed_reason}"
         raise RefusedError(detail, Code.TEAM_CLOSED)
-    return [_judge_one(placement.places, upstream, target) for upstream in upstreams]
+    return [
+        _check_upstream(placement.places, upstream, target) for upstream in upstreams
+    ]
 
 
 def find_candidates(
@@ -105,16 +107,16 @@
     RequestError
         When the team is unknown, or no record lets it use the target.
     RefusedError
-        When every allowed upstream is gone, leaving or absent.
+        When every allowed upstream is unreachable, leaving or absent.
     """
     eligibilities = check_eligibility(snapshot, upstreams, team, target)
-    chosen = [
+    candidates = [
         Candidate(eligibility.upstream, eligibility.offer)
         for eligibility in eligibilities
         if eligibility.offer is not None
     ]
-    if chosen:
-        return chosen
+    if candidates:
+        return candidates
     places = snapshot.placements[team].places.values()
     if not any(_matching(place.offers, target) for place in places):
         detail = f"no record lets team {team!r} use {target.name!r} {target.version}"
@@ -125,7 +127,7 @@
     raise RefusedError(detail, Code.NO_LIVE_UPSTREAM, retry_after_ms=1_000)
 
 
-def _judge_one(
+def _check_upstream(
     places: t.Mapping[str, t.Any], upstream: Upstream, target: Target
 ) -> Eligibility:
     served = _matching(upstream.offers, target)
--- a/packages/routing/src/fuchsiahatch_routing/choice.py
+++ b/packages/routing/src/fuchsiahatch_routing/choice.py
@@ -1,4 +1,4 @@
-"""Choosing one of the candidates: closures over one signature."""
+"""Strategies for choosing one of the candidates, as closures of one signature."""
 
 import heapq
 import math
@@ -13,11 +13,11 @@
 
 Choose = t.Callable[[t.Sequence["Candidate"], bytes], "Candidate"]
 
-#: How much above the mean load a prefix's own upstream may be filled.
+#: Multiple of the mean load up to which a prefix's first-ranked upstream is filled.
 LOAD_BOUND = 1.25
-#: How much fuller a straggler counts than it is.
+#: Factor by which the load of a straggler is multiplied.
 STRAGGLER_FACTOR = 3.0
-#: Bytes of a request's messages that are taken for its prefix.
+#: Bytes of a request's messages that make up its prefix.
 PREFIX_BYTES = 1_024
 
 _MESSAGES_FIELD = b'"messages"'
@@ -33,7 +33,7 @@
 
 
 def least_loaded(rng: "random.Random") -> Choose:
-    """Return a choice that takes the least loaded of all, ties at random."""
+    """Return a choice of the least loaded candidate, with ties broken at random."""
 
     def choose(candidates: t.Sequence["Candidate"], prefix: bytes) -> "Candidate":
         return min(candidates, key=lambda one: (load_of(one), rng.random()))
@@ -59,30 +59,30 @@
     rng : random.Random
         For requests without a prefix.
     bound : float
-        An upstream takes a prefix's work up to this many times the mean load.
+        The first-ranked upstream is filled up to this multiple of the mean load.
 
     Notes
     -----
-    The upstreams are ranked for each prefix by rendezvous hash, so that one that
-    comes or goes moves only its own prefixes. The first is taken while it is
-    within the bound, else the less loaded of the next two in rank: a prefix in
-    rush then warms few caches.
+    The upstreams are ranked for each prefix by rendezvous hash, so that adding or
+    removing one moves only its own prefixes. The first is taken while it is
+    within the bound, else the less loaded of the next two in rank, so that a
+    prefix in heavy demand occupies few prefix caches.
     """
     without_prefix = better_of_two(rng)
 
     def choose(candidates: t.Sequence["Candidate"], prefix: bytes) -> "Candidate":
         if not prefix or len(candidates) == 1:
             return without_prefix(candidates, prefix)
-        first, *others = heapq.nlargest(3, candidates, key=_ranking(prefix))
+        first, *alternatives = heapq.nlargest(3, candidates, key=_ranking(prefix))
         if _within_bound(first, candidates, bound):
             return first
-        return min(others, key=load_of)
+        return min(alternatives, key=load_of)
 
     return choose
 
 
 def prefix_of(body: bytes) -> bytes:
-    """Return the part of a request that an engine's prefix cache may know.
+    """Return the part of a request that an engine's prefix cache may hold.
 
     Parameters
     ----------
@@ -99,13 +99,13 @@
 
 
 def load_of(candidate: "Candidate") -> float:
-    """Return how full a candidate would be with one request more.
+    """Return the utilization of a candidate with one more request.
 
     Notes
     -----
     All ranks of a group advance in lock-step, so one straggler slows every
-    request of its group; it counts as fuller than it is. It is never excluded:
-    a wrong report may not leave a request without any candidate.
+    request of its group; its load is multiplied by `STRAGGLER_FACTOR`. It is
+    never excluded: a wrong report must not leave a request without candidates.
     """
     upstream = candidate.upstream
     load = (upstream.in_flight + upstream.queued + 1) / max(1, upstream.limit)
@@ -127,6 +127,6 @@
     if upstream.straggling:
         return False
     total = sum(one.upstream.in_flight + one.upstream.queued for one in candidates)
-    # Rounded up: with few requests about, the first of them must fit somewhere.
-    room = math.ceil(bound * (total + 1) / len(candidates))
-    return upstream.in_flight + upstream.queued < room
+    # Rounded up: at low load the bound must still admit one request somewhere.
+    max_load = math.ceil(bound * (total + 1) / len(candidates))
+    return upstream.in_flight + upstream.queued < max_load
--- a/packages/routing/src/fuchsiahatch_routing/limits.py
+++ b/packages/routing/src/fuchsiahatch_routing/limits.py
@@ -1,4 +1,4 @@
-"""How many requests run at once at an upstream, who waits and who is refused."""
+"""Concurrency limit of an upstream: which requests run, wait or are refused."""
 
 import collections
 import dataclasses
@@ -12,16 +12,16 @@
 if t.TYPE_CHECKING:
     from fuchsiahatch_routing.queues import Queue
 
-#: Weight of the newest service time in the running mean.
+#: Weight of the latest service time in the moving average.
 SERVICE_MEAN_WEIGHT = 0.1
-#: Shortest and longest time that a refused caller is told to wait.
+#: Bounds of the retry delay that a refused caller is given.
 MIN_RETRY_AFTER_MS = 100
 MAX_RETRY_AFTER_MS = 30_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admit:
-    """A request has a place.
+    """A request has been given a slot.
 
     Attributes
     ----------
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """A request is given up before it was run.
+    """A request is refused before it was run.
 
     Attributes
     ----------
@@ -46,7 +46,7 @@
     code : Code
     detail : str
     retry_after_ms : int
-        When a place should be free, by the queue and the rate it moves at.
+        Expected time until a slot is free, by the queue and the service time.
     """
 
     ticket: int
@@ -60,39 +60,46 @@
 
 
 class Limiter:
-    """Gives out an upstream's places.
+    """Assigns the slots of an upstream.
 
     Parameters
     ----------
     limit : int
-        Places.
+        Number of slots.
     queue : Queue
-        Decides who has the next free place.
+        Decides which request has the next free slot.
 
     Notes
     -----
     .. versionadded:: 0.1
     """
 
-    __slots__ = ("_counter", "_queue", "_service_ms", "_started", "in_flight", "limit")
+    __slots__ = (
+        "_last_ticket",
+        "_mean_service_ms",
+        "_queue",
+        "_started",
+        "in_flight",
+        "limit",
+    )
 
     def __init__(self, limit: int, queue: "Queue") -> None:
         self.limit = limit
         self.in_flight = 0
         self._queue = queue
-        self._counter = 0
-        self._service_ms: float | None = None
+        self._last_ticket = 0
+        self._mean_service_ms: float | None = None
         self._started: dict[str, collections.deque[tuple[int, float]]] = {}
 
     @property
     def queued(self) -> int:
-        """How many wait."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def arrive(
         self, team: str, priority: int, deadline_ms: int, now_ms: int
     ) -> tuple[int, list[Effect]]:
-        """Take a request in.
+        """Admit, queue or refuse a request.
 
         Parameters
         ----------
@@ -100,47 +107,47 @@
         priority : int
             Smaller goes first.
         deadline_ms : int
-            Time that is left for the whole of it.
+            Time left until the request's deadline.
         now_ms : int
 
         Returns
         -------
         ticket : int
         effects : list of Admit or Refuse
-            The request's own, and that of another which is pushed out for it.
+            Those of the request, and of another one that is evicted for it.
         """
-        self._counter += 1
-        ticket = self._counter
+        self._last_ticket += 1
+        ticket = self._last_ticket
         waiting = QueuedRequest(ticket, team, priority, now_ms, now_ms + deadline_ms)
         if self._cannot_meet(waiting, now_ms):
-            detail = f"the queue here leaves no time for a deadline of {deadline_ms} ms"
+            detail = f"the queue is too long for a deadline in {deadline_ms} ms"
             return ticket, [self._refuse(waiting, Code.DEADLINE_TOO_NEAR, detail)]
-        pushed_out = self._queue.push(waiting)
-        effects = self._fill(now_ms)
-        if pushed_out is not None:
+        evicted = self._queue.push(waiting)
+        effects = self._admit_waiting(now_ms)
+        if evicted is not None:
             detail = "this upstream and its queue are full"
-            effects.append(self._refuse(pushed_out, Code.OVERLOADED, detail))
+            effects.append(self._refuse(evicted, Code.OVERLOADED, detail))
         return ticket, effects
 
     def finish(self, team: str, now_ms: int) -> list[Effect]:
-        """Take back a place of a team, and give it on."""
+        """Release a slot that a team's request held, and assign it again."""
         self.in_flight -= 1
         started = self._started[team]
-        # Which of a team's requests ended isn't told; over all of them the sum
-        # of the times is the same.
+        # The caller doesn't say which of a team's requests ended. Taking the oldest
+        # is enough: the sum of the service times over all of them is the same.
         started_ms, charged_ms = started.popleft()
         if not started:
             del self._started[team]
         service_ms = now_ms - started_ms
-        self._queue.correct(team, service_ms - charged_ms)
+        self._queue.adjust_charge(team, service_ms - charged_ms)
         self._note_service(service_ms)
-        effects = self._fill(now_ms)
+        effects = self._admit_waiting(now_ms)
         if not self.in_flight:
-            self._queue.settle()
+            self._queue.reset()
         return effects
 
     def expire(self, now_ms: int) -> list[Effect]:
-        """Give up the requests whose deadline has passed while they waited."""
+        """Refuse the requests whose deadline has passed while they waited."""
         expired = [one for one in self._queue if one.expires_ms <= now_ms]
         for waiting in expired:
             self._queue.remove(waiting.ticket)
@@ -148,21 +155,21 @@
         return [self._refuse(one, Code.DEADLINE_PASSED, detail) for one in expired]
 
     def withdraw(self, ticket: int) -> bool:
-        """Take a request out of the queue; False when it doesn't wait there."""
+        """Remove a request from the queue; False when it isn't queued."""
         return self._queue.remove(ticket) is not None
 
     def _cannot_meet(self, waiting: QueuedRequest, now_ms: int) -> bool:
-        # With a place free a request is always let in, however slow the estimate
-        # says it will be: only what runs corrects the estimate, and one slow
-        # spell would else refuse short deadlines for ever.
-        if self.in_flight < self.limit or self._service_ms is None:
+        # With a slot free a request is always admitted, whatever the estimate:
+        # only requests that run correct the estimate, so after one slow period
+        # short deadlines would otherwise be refused indefinitely.
+        if self.in_flight < self.limit or self._mean_service_ms is None:
             return False
-        done_ms = self._wait_ms(waiting.team) + self._service_ms
+        done_ms = self._wait_ms(waiting.team) + self._mean_service_ms
         return now_ms + done_ms > waiting.expires_ms
 
-    def _fill(self, now_ms: int) -> list[Effect]:
+    def _admit_waiting(self, now_ms: int) -> list[Effect]:
         effects: list[Effect] = []
-        charged_ms = self._service_ms or 1.0
+        charged_ms = self._mean_service_ms or 1.0
         while self.in_flight < self.limit:
             taken = self._queue.pop(charged_ms)
             if taken is None:
@@ -172,7 +179,7 @@
 
     def _start(self, taken: QueuedRequest, charged_ms: float, now_ms: int) -> Effect:
         if taken.expires_ms <= now_ms:
-            self._queue.correct(taken.team, -charged_ms)
+            self._queue.adjust_charge(taken.team, -charged_ms)
             detail = "the deadline passed in the queue"
             return self._refuse(taken, Code.DEADLINE_PASSED, detail)
         self.in_flight += 1
@@ -181,17 +188,19 @@
         return Admit(taken.ticket, taken.team, now_ms - taken.arrived_ms)
 
     def _note_service(self, service_ms: float) -> None:
-        if self._service_ms is None:
-            self._service_ms = float(service_ms)
-        self._service_ms += SERVICE_MEAN_WEIGHT * (service_ms - self._service_ms)
+        if self._mean_service_ms is None:
+            self._mean_service_ms = float(service_ms)
+        self._mean_service_ms += SERVICE_MEAN_WEIGHT * (
+            service_ms - self._mean_service_ms
+        )
 
     def _wait_ms(self, team: str) -> float:
-        per_place_ms = (self._service_ms or 0.0) / self.limit
-        return self._queue.turns_before(team) * per_place_ms
+        per_slot_ms = (self._mean_service_ms or 0.0) / self.limit
+        return self._queue.estimate_turns(team) * per_slot_ms
 
     def _refuse(self, waiting: QueuedRequest, code: Code, detail: str) -> Refuse:
         wait_ms = RETRY_AFTER_MS
-        if self._service_ms is not None:
+        if self._mean_service_ms is not None:
             wait_ms = math.ceil(self._wait_ms(waiting.team))
         retry_after_ms = min(max(wait_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
         return Refuse(waiting.ticket, waiting.team, code, detail, retry_after_ms)
--- a/packages/routing/src/fuchsiahatch_routing/queues.py
+++ b/packages/routing/src/fuchsiahatch_routing/queues.py
@@ -1,4 +1,4 @@
-"""Who goes next when an upstream is full: a weighted fair queue over teams."""
+"""Queues for requests to a full upstream: weighted fair queueing over teams."""
 
 import collections
 import dataclasses
@@ -7,29 +7,29 @@
 
 ShareOf = t.Callable[[str], float]
 
-#: Classes of priority that are told apart; a larger number counts as the last.
+#: Number of priority classes; a larger priority counts as the last class.
 PRIORITY_CLASSES = 3
-#: Class of a request that names none.
+#: Class of a request without a priority.
 DEFAULT_PRIORITY = 1
-#: Requests of work that a better class may be ahead of its team's turn.
+#: Offset of each class from its team's start tag, in requests; positive is earlier.
 CLASS_ADVANCE = (2.0, 0.0, -2.0)
-#: Times that a team's better class may overtake its oldest request in a row.
+#: Times in a row that a higher-priority request may overtake its team's oldest one.
 MAX_OVERTAKES = 8
 
 
 def equal_shares(team: str) -> float:
-    """Give every team the same share."""
+    """Return the same share for every team."""
     return 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """A request that waits for a place.
+    """A request that waits for a slot.
 
     Attributes
     ----------
     ticket : int
-        Its number at this agent, in the order of arrival.
+        Number of the request in this queue, in the order of arrival.
     team : str
     priority : int
         Its class; smaller goes first.
@@ -44,35 +44,35 @@
 
 
 class Queue(t.Protocol):
-    """What the limiter asks of a queue."""
+    """Interface that the limiter requires of a queue."""
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued requests."""
 
     def __iter__(self) -> t.Iterator[QueuedRequest]:
-        """Iterate over all that wait, in no set order."""
+        """Iterate over all queued requests, in no particular order."""
 
     def push(self, waiting: QueuedRequest) -> QueuedRequest | None:
-        """Add a request; return the one that must go when the queue is full."""
+        """Add a request; return the one that is evicted when the queue is full."""
 
     def pop(self, cost_ms: float) -> QueuedRequest | None:
-        """Take the next request out, and charge its team an expected cost."""
+        """Remove the next request and charge its team an expected cost."""
 
     def remove(self, ticket: int) -> QueuedRequest | None:
-        """Take one request out of turn."""
+        """Remove one request out of turn and return it."""
 
-    def correct(self, team: str, cost_ms: float) -> None:
-        """Charge a team the difference between true and expected cost."""
+    def adjust_charge(self, team: str, cost_ms: float) -> None:
+        """Charge a team the difference between actual and expected cost."""
 
-    def turns_before(self, team: str) -> float:
-        """Estimate how many places must come free for a new request of a team."""
+    def estimate_turns(self, team: str) -> float:
+        """Estimate how many slots must be freed before a new request of a team runs."""
 
-    def settle(self) -> None:
-        """Forget what is owed, as nothing runs or waits."""
+    def reset(self) -> None:
+        """Clear all charges, as nothing runs or waits."""
 
 
 class FifoQueue:
-    """First come, first served: the baseline that benches compare with.
+    """First come, first served: the baseline for benchmarks.
 
     Parameters
     ----------
@@ -103,36 +103,36 @@
         return None
 
     def pop(self, cost_ms: float) -> QueuedRequest | None:
-        """Take the oldest request out."""
+        """Remove and return the oldest request."""
         return self.remove(next(iter(self._waiting), -1))
 
     def remove(self, ticket: int) -> QueuedRequest | None:
-        """Take one request out."""
+        """Remove one request and return it."""
         return self._waiting.pop(ticket, None)
 
-    def correct(self, team: str, cost_ms: float) -> None:
-        """Charge nothing."""
+    def adjust_charge(self, team: str, cost_ms: float) -> None:
+        """Do nothing, as no team is charged."""
 
-    def turns_before(self, team: str) -> float:
-        """Return the length, with the new request."""
+    def estimate_turns(self, team: str) -> float:
+        """Return the length including the new request."""
         return len(self) + 1
 
-    def settle(self) -> None:
-        """Forget nothing."""
+    def reset(self) -> None:
+        """Do nothing, as no team is charged."""
 
 
-class _Lane:
-    """One team's requests and the virtual time at which its next may start."""
+class _Flow:
+    """One team's requests, and the virtual start time (start tag) of its next one."""
 
-    __slots__ = ("classes", "overtakes", "size", "tag", "weight")
+    __slots__ = ("classes", "overtakes", "size", "start_tag", "weight")
 
-    def __init__(self, tag: float, weight: float) -> None:
+    def __init__(self, start_tag: float, weight: float) -> None:
         self.classes: tuple[collections.deque[QueuedRequest], ...] = tuple(
             collections.deque() for _ in range(PRIORITY_CLASSES)
         )
         self.overtakes = 0
         self.size = 0
-        self.tag = tag
+        self.start_tag = start_tag
         self.weight = weight
 
     def add(self, waiting: QueuedRequest) -> None:
@@ -145,18 +145,20 @@
 
     def drop_newest(self) -> QueuedRequest:
         self.size -= 1
-        return next(kept for kept in reversed(self.classes) if kept).pop()
+        return next(requests for requests in reversed(self.classes) if requests).pop()
 
-    def head_class(self) -> int:
-        waiting = [number for number, kept in enumerate(self.classes) if kept]
+    def next_class(self) -> int:
+        waiting = [number for number, requests in enumerate(self.classes) if requests]
         if self.overtakes < MAX_OVERTAKES:
             return waiting[0]
         return min(waiting, key=lambda number: self.classes[number][0].ticket)
 
     def take(self) -> QueuedRequest:
-        taken = self.classes[self.head_class()].popleft()
+        taken = self.classes[self.next_class()].popleft()
         self.size -= 1
-        overtook = any(kept and kept[0].ticket < taken.ticket for kept in self.classes)
+        overtook = any(
+            requests and requests[0].ticket < taken.ticket for requests in self.classes
+        )
         self.overtakes = self.overtakes + 1 if overtook else 0
         return taken
 
@@ -167,129 +169,138 @@
     Parameters
     ----------
     max_waiting : int
-        Requests kept over all teams.
+        Maximum of queued requests over all teams.
     share_of : callable
-        A team's share; only the ratios between teams matter.
+        Returns a team's share; only the ratios between teams matter.
 
     Notes
     -----
-    Guards against a team that floods: in a first-come queue every other team's
-    requests wait behind the flood. Here each team has its own lane; the lane
+    Guards against a team that floods: in a first-come queue the requests of all
+    other teams wait for the flood. Here each team is a flow of its own; the flow
     that has had the least service for its share goes next, so a team within its
-    share waits for about one request however long another's lane is. A lane
-    that is empty saves nothing up, so that an unused share is lent.
+    share waits for about one request however long another team's flow is. An
+    empty flow accumulates no credit, so that unused shares are lent.
 
-    A full queue pushes out the newest request of the lane that is longest for
-    its share: else the flood would fill the queue and quiet teams be refused.
+    A full queue evicts the newest request of the flow that is longest for its
+    share: else the flood would fill the queue and other teams would be refused.
 
-    Cost is time in a place, not requests: else a team with long answers would
-    hold more than its share. The better class of priority starts at most
-    `CLASS_ADVANCE` requests early and pays in full, so that no class starves.
+    Cost is the time that a slot is occupied, not the number of requests: else a
+    team with long answers would use more than its share. A higher priority class
+    starts at most `CLASS_ADVANCE` requests early and is charged in full, so that
+    no class starves.
 
     .. versionadded:: 0.1
     """
 
-    __slots__ = ("_lanes", "_max_waiting", "_now", "_share_of", "_size")
+    __slots__ = ("_flows", "_max_waiting", "_share_of", "_size", "_virtual_time")
 
     def __init__(self, max_waiting: int, share_of: ShareOf = equal_shares) -> None:
         self._max_waiting = max_waiting
         self._share_of = share_of
-        self._lanes: dict[str, _Lane] = {}
-        self._now = 0.0
+        self._flows: dict[str, _Flow] = {}
+        self._virtual_time = 0.0
         self._size = 0
 
     def __len__(self) -> int:
         return self._size
 
     def __iter__(self) -> t.Iterator[QueuedRequest]:
-        kept = [kept for lane in self._lanes.values() for kept in lane.classes]
-        return iter(list(itertools.chain.from_iterable(kept)))
+        requests = [
+            requests for flow in self._flows.values() for requests in flow.classes
+        ]
+        return iter(list(itertools.chain.from_iterable(requests)))
 
     def push(self, waiting: QueuedRequest) -> QueuedRequest | None:
-        """Add a request; return the one that must go when the queue is full."""
-        lane = self._lane(waiting.team)
-        if not lane.size:
-            lane.tag = max(lane.tag, self._now)
-        lane.add(waiting)
+        """Add a request; return the one that is evicted when the queue is full."""
+        flow = self._flow(waiting.team)
+        if not flow.size:
+            flow.start_tag = max(flow.start_tag, self._virtual_time)
+        flow.add(waiting)
         self._size += 1
         if self._size <= self._max_waiting:
             return None
-        return self._push_out()
+        return self._evict()
 
     def pop(self, cost_ms: float) -> QueuedRequest | None:
-        """Take the next request out, and charge its team an expected cost."""
-        lanes = [lane for lane in self._lanes.values() if lane.size]
-        if not lanes:
+        """Remove the next request and charge its team an expected cost."""
+        backlogged = [flow for flow in self._flows.values() if flow.size]
+        if not backlogged:
             return None
-        self._now = max(self._now, min(lane.tag for lane in lanes))
-        lane = min(lanes, key=lambda lane: _turn_of(lane, cost_ms))
-        taken = lane.take()
-        lane.tag += cost_ms / lane.weight
+        self._virtual_time = max(
+            self._virtual_time, min(flow.start_tag for flow in backlogged)
+        )
+        flow = min(backlogged, key=lambda flow: _start_order(flow, cost_ms))
+        taken = flow.take()
+        flow.start_tag += cost_ms / flow.weight
         self._size -= 1
-        self._forget_paid()
+        self._drop_idle_teams()
         return taken
 
     def remove(self, ticket: int) -> QueuedRequest | None:
-        """Take one request out of turn."""
-        found = next((waiting for waiting in self if waiting.ticket == ticket), None)
-        if found is not None:
-            self._lanes[found.team].remove(found)
+        """Remove one request out of turn and return it."""
+        removed = next((waiting for waiting in self if waiting.ticket == ticket), None)
+        if removed is not None:
+            self._flows[removed.team].remove(removed)
             self._size -= 1
-        return found
+        return removed
 
-    def correct(self, team: str, cost_ms: float) -> None:
-        """Charge a team the difference between true and expected cost."""
-        lane = self._lane(team)
-        lane.tag += cost_ms / lane.weight
+    def adjust_charge(self, team: str, cost_ms: float) -> None:
+        """Charge a team the difference between actual and expected cost."""
+        flow = self._flow(team)
+        flow.start_tag += cost_ms / flow.weight
 
-    def turns_before(self, team: str) -> float:
-        """Estimate how many places must come free for a new request of a team."""
-        own = self._lanes.get(team)
+    def estimate_turns(self, team: str) -> float:
+        """Estimate how many slots must be freed before a new request of a team runs."""
+        existing = self._flows.get(team)
         weight = self._weight(team)
-        others = sum(
-            lane.weight
-            for lane in self._lanes.values()
-            if lane.size and lane is not own
+        other_weights = sum(
+            flow.weight
+            for flow in self._flows.values()
+            if flow.size and flow is not existing
+        )
+        team_turns = (
+            (1 if existing is None else existing.size + 1)
+            * (other_weights + weight)
+            / weight
         )
-        own_turns = (1 if own is None else own.size + 1) * (others + weight) / weight
-        return min(self._size + 1, own_turns)
+        return min(self._size + 1, team_turns)
 
-    def settle(self) -> None:
-        """Forget what is owed, as nothing runs or waits."""
-        self._lanes.clear()
-        self._now = 0.0
+    def reset(self) -> None:
+        """Clear all charges, as nothing runs or waits."""
+        self._flows.clear()
+        self._virtual_time = 0.0
 
-    def _lane(self, team: str) -> _Lane:
-        lane = self._lanes.get(team)
-        if lane is None:
-            lane = self._lanes[team] = _Lane(self._now, self._weight(team))
-        return lane
+    def _flow(self, team: str) -> _Flow:
+        flow = self._flows.get(team)
+        if flow is None:
+            flow = self._flows[team] = _Flow(self._virtual_time, self._weight(team))
+        return flow
 
     def _weight(self, team: str) -> float:
-        # A share of 0 would be a lane that never has its turn.
-        return max(self._share_of(team), _LEAST_SHARE)
+        # A flow with a share of 0 would never be served.
+        return max(self._share_of(team), _MIN_SHARE)
 
-    def _push_out(self) -> QueuedRequest:
-        lane = max(self._lanes.values(), key=lambda lane: lane.size / lane.weight)
+    def _evict(self) -> QueuedRequest:
+        flow = max(self._flows.values(), key=lambda flow: flow.size / flow.weight)
         self._size -= 1
-        return lane.drop_newest()
+        return flow.drop_newest()
 
-    def _forget_paid(self) -> None:
-        paid = [
+    def _drop_idle_teams(self) -> None:
+        idle = [
             team
-            for team, lane in self._lanes.items()
-            if not lane.size and lane.tag <= self._now
+            for team, flow in self._flows.items()
+            if not flow.size and flow.start_tag <= self._virtual_time
         ]
-        for team in paid:
-            del self._lanes[team]
+        for team in idle:
+            del self._flows[team]
 
 
-_LEAST_SHARE = 0.01
+_MIN_SHARE = 0.01
 
 
 def _class_of(waiting: QueuedRequest) -> int:
     return min(max(waiting.priority, 0), PRIORITY_CLASSES - 1)
 
 
-def _turn_of(lane: _Lane, cost_ms: float) -> float:
-    return lane.tag - CLASS_ADVANCE[lane.head_class()] * cost_ms / lane.weight
+def _start_order(flow: _Flow, cost_ms: float) -> float:
+    return flow.start_tag - CLASS_ADVANCE[flow.next_class()] * cost_ms / flow.weight
--- a/packages/routing/src/fuchsiahatch_routing/subsets.py
+++ b/packages/routing/src/fuchsiahatch_routing/subsets.py
@@ -1,4 +1,4 @@
-"""Which upstreams an entry works with, where working with all would be too many."""
+"""Subsets of the upstreams: limits how many of them each entry connects to."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 from fuchsiahatch_core.identities import Offer
 
-#: Upstreams of one offer in one zone that an entry works with.
+#: Upstreams that an entry uses for each zone and offer.
 SUBSET_SIZE = 12
 
 
@@ -26,13 +26,14 @@
     hosts : iterable of (host, zone, offers)
         All listed upstreams.
     size : int
-        Hosts taken for each zone and offer; all of them when there are no more.
+        Hosts taken for each zone and offer; all of them where there are fewer.
 
     Notes
     -----
-    The same for every process that knows the list, without asking anyone. Each
-    (entry, host) pair has its own rendezvous weight, so that a host that comes or
-    goes changes at most one member in the subset of any entry.
+    Every process with the same list computes the same subset, without
+    coordination. Each (entry, host) pair has its own rendezvous weight, so that a
+    host that is added or removed changes at most one member of an entry's subset
+    for each zone and offer.
     """
     pairs = (((zone, offer), host) for host, zone, offers in hosts for offer in offers)
     by_place = itertools.groupby(sorted(pairs), key=lambda pair: pair[0])
--- a/tests/routing/sessions.py
+++ b/tests/routing/sessions.py
@@ -1,4 +1,4 @@
-"""Plays arrivals against a limiter on a manual clock, and writes what happened."""
+"""Simulates arrivals at a limiter on a manual clock and records the effects."""
 
 import dataclasses
 import heapq
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request: when it comes, whose it is and how long it runs."""
+    """One request: its time of arrival, team and service time."""
 
     at_ms: int
     team: str
@@ -20,7 +20,7 @@
 
 
 class Session:
-    """The events of one run, in order of time and then of their making."""
+    """Event simulation of one run; events at the same time keep their order."""
 
     def __init__(self, limiter):
         self.clock = ManualClock()
@@ -32,22 +32,22 @@
         self._running = {}
 
     def play(self, arrivals):
-        """Play all arrivals to their ends; waiting deadlines are timers."""
+        """Run until all arrivals have ended; deadlines in the queue are timers."""
         for arrival in arrivals:
-            self._at(arrival.at_ms, self._arrive, arrival)
+            self._schedule(arrival.at_ms, self._arrive, arrival)
         while self._events:
-            at_ms, _, act, argument = heapq.heappop(self._events)
+            at_ms, _, action, argument = heapq.heappop(self._events)
             self.clock.advance(at_ms - self.clock.now_ms())
-            act(argument)
+            action(argument)
         return self
 
     def waits(self, prefix):
-        """Return the waiting times of the teams whose name starts so."""
+        """Return the waiting times of the teams whose names have a prefix."""
         admits = (effect for effect in self.effects if isinstance(effect, Admit))
         return [one.waited_ms for one in admits if one.team.startswith(prefix)]
 
-    def _at(self, at_ms, act, argument):
-        heapq.heappush(self._events, (at_ms, next(self._order), act, argument))
+    def _schedule(self, at_ms, action, argument):
+        heapq.heappush(self._events, (at_ms, next(self._order), action, argument))
 
     def _arrive(self, arrival):
         now_ms = self.clock.now_ms()
@@ -55,24 +55,26 @@
             arrival.team, arrival.priority, arrival.deadline_ms, now_ms
         )
         self._running[ticket] = arrival
-        self._at(now_ms + arrival.deadline_ms, self._expire, None)
-        self._note(effects)
+        self._schedule(now_ms + arrival.deadline_ms, self._expire, None)
+        self._record(effects)
 
     def _finish(self, team):
-        self._note(self._limiter.finish(team, self.clock.now_ms()))
+        self._record(self._limiter.finish(team, self.clock.now_ms()))
 
     def _expire(self, _):
-        self._note(self._limiter.expire(self.clock.now_ms()))
+        self._record(self._limiter.expire(self.clock.now_ms()))
 
-    def _note(self, effects):
+    def _record(self, effects):
         self.effects.extend(effects)
         for effect in effects:
-            where = f"{self.clock.now_ms():>6} ms  #{effect.ticket:<3} {effect.team:<8}"
+            prefix = (
+                f"{self.clock.now_ms():>6} ms  #{effect.ticket:<3} {effect.team:<8}"
+            )
             if isinstance(effect, Admit):
                 end_ms = self.clock.now_ms() + self._running[effect.ticket].service_ms
-                self._at(end_ms, self._finish, effect.team)
-                self.lines.append(f"{where} admitted after {effect.waited_ms} ms")
+                self._schedule(end_ms, self._finish, effect.team)
+                self.lines.append(f"{prefix} admitted after {effect.waited_ms} ms")
             else:
                 self.lines.append(
-                    f"{where} {effect.code.name}, again in {effect.retry_after_ms} ms"
+                    f"{prefix} {effect.code.name}, again in {effect.retry_after_ms} ms"
                 )
--- a/tests/routing/test_budgets.py
+++ b/tests/routing/test_budgets.py
@@ -5,10 +5,10 @@
 
 class TestRetryBudget(unittest.TestCase):
     def test_retry_storm_is_bounded(self):
-        """Every upstream is full, and the retries make the load threefold.
+        """Guards against retries that multiply the load on full upstreams.
 
-        Each request is refused, tried elsewhere and refused again; what was
-        overloaded by a tenth is now overloaded three times.
+        Every upstream refuses, and each request is retried twice: without a budget
+        an overload of a tenth becomes threefold.
         """
         budget = RetryBudget(floor_per_s=1.0, burst=10.0)
         retries = 0
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -26,8 +26,8 @@
             upstream("gone", live=False),
             upstream("leaving", leaving=True),
         ]
-        found = find_candidates(SNAPSHOT, upstreams, "gym-bangsar", TARGET)
-        self.assertEqual([one.upstream.home.host for one in found], ["good"])
+        candidates = find_candidates(SNAPSHOT, upstreams, "gym-bangsar", TARGET)
+        self.assertEqual([one.upstream.home.host for one in candidates], ["good"])
 
     def test_unknown_team(self):
         with self.assertRaises(RequestError) as seen:
@@ -39,9 +39,9 @@
             find_candidates(SNAPSHOT, [], "gym-bangsar", Target("poet"))
         self.assertIs(seen.exception.result, Code.UNKNOWN_TARGET)
 
-    def test_no_live_upstream_says_when_to_come_back(self):
-        gone = [upstream("gone", live=False)]
+    def test_no_live_upstream_gives_a_retry_delay(self):
+        unreachable = [upstream("gone", live=False)]
         with self.assertRaises(RefusedError) as seen:
-            find_candidates(SNAPSHOT, gone, "gym-bangsar", TARGET)
+            find_candidates(SNAPSHOT, unreachable, "gym-bangsar", TARGET)
         self.assertIs(seen.exception.result, Code.NO_LIVE_UPSTREAM)
         self.assertIsNotNone(seen.exception.retry_after_ms)
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -23,7 +23,7 @@
     return chosen.upstream.home.host
 
 
-EIGHT = [candidate(f"engine-{number}") for number in range(8)]
+CANDIDATES = [candidate(f"engine-{number}") for number in range(8)]
 
 
 class TestPrefixAffinity(unittest.TestCase):
@@ -35,18 +35,20 @@
         return [host_of(self.choose(candidates, prefix)) for prefix in prefixes]
 
     def test_a_prefix_keeps_its_upstream(self):
-        self.assertEqual(self.homes(EIGHT), self.homes(EIGHT[::-1]))
+        self.assertEqual(self.homes(CANDIDATES), self.homes(CANDIDATES[::-1]))
 
-    def test_an_upstream_that_goes_moves_only_its_own_prefixes(self):
-        pairs = list(zip(self.homes(EIGHT), self.homes(EIGHT[1:]), strict=True))
+    def test_removed_upstream_moves_only_its_own_prefixes(self):
+        pairs = list(
+            zip(self.homes(CANDIDATES), self.homes(CANDIDATES[1:]), strict=True)
+        )
         moved = {before for before, after in pairs if before != after}
         self.assertEqual(moved, {"engine-0"})
 
-    def test_rush_on_one_prefix_is_spread(self):
-        """One popular trainer's prompt takes one engine down while seven idle.
+    def test_heavy_load_on_one_prefix_is_spread(self):
+        """Guards against one prefix overloading its upstream while seven idle.
 
-        All members send the same prefix; affinity alone sends all of them to
-        the same upstream, whatever waits there.
+        Affinity alone sends all requests with the same prefix to the same
+        upstream, whatever its load.
         """
         loads = collections.Counter()
         for _ in range(80):
@@ -57,7 +59,7 @@
         self.assertLessEqual(max(loads.values()), 1.25 * 80 / 2)
         self.assertGreaterEqual(len(loads), 3)
 
-    def test_no_prefix_goes_by_load(self):
+    def test_request_without_prefix_is_placed_by_load(self):
         pair = [candidate("full", 9), candidate("idle")]
         self.assertEqual(host_of(self.choose(pair, b"")), "idle")
 
@@ -71,15 +73,15 @@
         for number in range(20):
             self.assertEqual(host_of(affinity(pair, b"%d" % number)), "sound")
 
-    def test_a_wrong_report_on_all_leaves_a_choice(self):
-        """One confused rank names every host, and the whole model goes dark."""
+    def test_candidates_remain_when_all_are_reported_as_stragglers(self):
+        """Guards against a faulty report of stragglers making a model unavailable."""
         all_slow = [candidate(f"engine-{n}", straggling=True) for n in range(3)]
         affinity = choice.prefix_affinity(random.Random(1))
         self.assertIsNotNone(affinity(all_slow, b"prefix"))
         self.assertIsNotNone(affinity(all_slow[:1], b"prefix"))
 
 
-class TestOthers(unittest.TestCase):
+class TestLoadStrategies(unittest.TestCase):
     def test_by_load(self):
         uneven = [candidate(f"engine-{n}", n) for n in range(8)]
         rng = random.Random(3)
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -18,10 +18,10 @@
 
 class TestFlood(unittest.TestCase):
     def test_quiet_teams_are_not_starved(self):
-        """Nine gyms' replies are late on the night when the tenth floods.
+        """Guards against one team's flood delaying the other nine teams.
 
-        The flood's 40 requests come first and fill the queue; each gym then asks
-        once. In a first-come queue all nine wait behind the whole flood.
+        The flood's 40 requests arrive first, then one request of each other team.
+        In a first-come queue all nine wait for the whole flood.
         """
         fair = Session(Limiter(2, FairQueue(100))).play(FLOOD + QUIET)
         fifo = Session(Limiter(2, FifoQueue(100))).play(FLOOD + QUIET)
@@ -29,27 +29,27 @@
         self.assertLessEqual(max(fair.waits("quiet")), 4 * 50)
         self.assertGreaterEqual(min(fifo.waits("quiet")), 800)
 
-    def test_full_queue_pushes_the_flood_out(self):
-        """Quiet gyms are told "full" while one gym's requests fill the queue.
+    def test_full_queue_evicts_the_flood(self):
+        """Guards against refusing teams because another team filled the queue.
 
-        The queue is bounded and the flood came first; whoever comes next is
-        refused, though it has not had anything yet.
+        The queue is bounded and the flood arrives first; without eviction later
+        teams are refused although they have had no service yet.
         """
         session = Session(Limiter(2, FairQueue(20))).play(FLOOD + QUIET)
         self.assertEqual({effect.team for effect in refusals(session)}, {"flood"})
         self.assertEqual(len(session.waits("quiet")), len(QUIET))
 
     def test_unused_share_is_lent(self):
-        """A large gym is slowed to its share while the other gyms sleep."""
+        """Guards against limiting a team to its share while the others are idle."""
         shares = {"flood": 10.0, "quiet": 90.0}
         session = Session(Limiter(2, FairQueue(100, shares.__getitem__))).play(FLOOD)
         self.assertEqual(max(session.waits("flood")), 40 // 2 * 50 - 50)
 
-    def test_long_answers_pay_for_their_time(self):
-        """A team of long answers holds the places that others' short ones need.
+    def test_long_answers_are_charged_for_their_time(self):
+        """Guards against long answers taking more than their team's share.
 
-        Counted by requests both teams take turns, and the long ones hold nine
-        tenths of the time.
+        If requests were counted instead of time, both teams would alternate and
+        the long answers would take nine tenths of the time.
         """
         arrivals = [Arrival(0, "long", 450)] * 40 + [Arrival(0, "short", 50)] * 360
         session = Session(Limiter(2, FairQueue(1_000))).play(arrivals)
@@ -60,11 +60,11 @@
 
 
 class TestDeadlines(unittest.TestCase):
-    def test_shed_early(self):
-        """Skippers wait out their whole deadline, only to be told it has passed.
+    def test_request_that_cannot_meet_its_deadline_is_refused_on_arrival(self):
+        """Guards against callers waiting for their whole deadline in vain.
 
-        The queue is longer than the deadline from the start, so all of the wait
-        is for nothing, and what they would do instead starts late.
+        The queue is longer than the deadline from the start: refused on arrival, a
+        caller can do something else in that time.
         """
         arrivals = [
             Arrival(0, "warm"),
@@ -81,9 +81,10 @@
         self.assertIn(Code.DEADLINE_TOO_NEAR, codes)
 
     def test_deadline_that_passes_in_the_queue_is_answered_at_once(self):
-        """A request is run for a member who has long given up.
+        """Guards against running a request after its deadline.
 
-        Its estimate was good when it came; then the ones before it ran slowly.
+        It is queued because the estimate meets its deadline; then the requests
+        before it run slowly.
         """
         slow = [Arrival(0, "slow"), Arrival(60, "slow", 2_000)]
         waiting = Arrival(70, "member", deadline_ms=300)
@@ -92,10 +93,10 @@
         self.assertIs(refused.code, Code.DEADLINE_PASSED)
         self.assertIn("   370 ms", session.lines[-1])
 
-    def test_a_slow_spell_does_not_refuse_for_ever(self):
-        """After one slow minute every short deadline is refused, day after day.
+    def test_slow_period_does_not_refuse_indefinitely(self):
+        """Guards against one slow request causing refusals indefinitely.
 
-        What is refused is not run, so nothing ever corrects the estimate.
+        Refused requests aren't run, so nothing corrects the estimate.
         """
         limiter = Limiter(1, FairQueue(10))
         limiter.arrive("slow", 1, 30_000, 0)
@@ -107,15 +108,17 @@
         limiter = Limiter(1, FairQueue(2))
         limiter.arrive("warm", 1, 30_000, 0)
         limiter.finish("warm", 1_000)
-        told = []
+        retry_delays_ms = []
         for _ in range(6):
             _, effects = limiter.arrive("flood", 1, 30_000, 1_000)
-            told += [one.retry_after_ms for one in effects if isinstance(one, Refuse)]
-        self.assertEqual(told, [3_000] * 3)
+            retry_delays_ms += [
+                one.retry_after_ms for one in effects if isinstance(one, Refuse)
+            ]
+        self.assertEqual(retry_delays_ms, [3_000] * 3)
 
 
-class TestGivingUp(unittest.TestCase):
-    def test_withdrawn_request_never_has_a_place(self):
+class TestWithdrawal(unittest.TestCase):
+    def test_withdrawn_request_is_never_admitted(self):
         limiter = Limiter(1, FairQueue(10))
         limiter.arrive("first", 1, 30_000, 0)
         ticket, _ = limiter.arrive("gone", 1, 30_000, 0)
@@ -126,11 +129,11 @@
 
 
 class TestAnyOrder(unittest.TestCase):
-    def test_each_request_is_answered_once_and_no_place_idles(self):
-        """Under a mix of everything a request is forgotten, or answered twice.
+    def test_each_request_is_answered_once_and_no_slot_idles(self):
+        """Guards against requests that are lost or answered twice.
 
-        Ends, deadlines and callers that go away come in any order between the
-        arrivals of many teams; the queue is short, so that it also pushes out.
+        Ends, deadlines and withdrawals come in random order between the arrivals
+        of several teams; the queue is short, so that it also evicts.
         """
         for seed, queue in itertools.product(range(30), (FairQueue, FifoQueue)):
             with self.subTest(seed=seed, queue=queue.__name__):
@@ -162,10 +165,10 @@
             elif step < 0.9:
                 take(limiter.expire(now_ms))
             elif open_teams:
-                gone = rng.choice(sorted(open_teams))
-                self.assertTrue(limiter.withdraw(gone))
-                withdrawn.add(gone)
-                del open_teams[gone]
+                withdrawn_ticket = rng.choice(sorted(open_teams))
+                self.assertTrue(limiter.withdraw(withdrawn_ticket))
+                withdrawn.add(withdrawn_ticket)
+                del open_teams[withdrawn_ticket]
             self.assertEqual(limiter.in_flight, len(running))
             self.assertEqual(limiter.queued, len(open_teams))
             self.assertTrue(len(running) == 3 or not open_teams)
--- a/tests/routing/test_loads.py
+++ b/tests/routing/test_loads.py
@@ -8,7 +8,7 @@
 
 
 def send(tables, count, rng):
-    """Send requests from entries in turn, each to what it takes for the idlest."""
+    """Send requests from entries in turn, each to its least loaded host."""
     sent = collections.Counter()
     for number in range(count):
         table = tables[number % len(tables)]
@@ -20,10 +20,10 @@
 
 class TestLoadTable(unittest.TestCase):
     def test_entries_do_not_herd_between_reports(self):
-        """Every second another engine is flooded, while the others run dry.
+        """Guards against herding: all entries send to one upstream at a time.
 
-        All entries hear that one engine is the idlest, and all send to it until
-        the next report; the more entries, the worse.
+        All entries receive the same report that one upstream is idle, and send to
+        it until the next report; more entries make it worse.
         """
 
         def spread(own_weight):
--- a/tests/routing/test_queues.py
+++ b/tests/routing/test_queues.py
@@ -20,7 +20,7 @@
 
 
 class TestShares(unittest.TestCase):
-    def test_turns_follow_the_shares(self):
+    def test_service_is_proportional_to_shares(self):
         shares = {"a": 60.0, "b": 30.0, "c": 10.0}
         queue = FairQueue(1_000, shares.__getitem__)
         for team in shares:
@@ -29,22 +29,22 @@
         for team, share in shares.items():
             self.assertAlmostEqual(turns[team], share, delta=2)
 
-    def test_team_of_no_share_has_its_turn(self):
+    def test_team_with_zero_share_is_served(self):
         queue = FairQueue(10, lambda team: 0.0)
         fill(queue, "a", 1)
         self.assertEqual(served(queue, 1)[0].team, "a")
 
-    def test_nothing_is_kept_of_teams_that_were_served(self):
+    def test_idle_teams_are_dropped(self):
         queue = FairQueue(10_000)
         for number in range(500):
             fill(queue, f"team-{number}", 1)
         served(queue, 500)
         fill(queue, "last", 2)
         served(queue, 2)
-        queue.settle()
-        self.assertEqual(len(queue._lanes), 0)
+        queue.reset()
+        self.assertEqual(len(queue._flows), 0)
 
-    def test_random_orders_lose_nothing_and_keep_the_bound(self):
+    def test_random_operations_lose_no_request_and_keep_the_bound(self):
         rng = random.Random(7)
         queue = FairQueue(30, lambda team: 1.0 + len(team))
         pushed, out = 0, 0
@@ -55,29 +55,29 @@
                 pushed += 1
             else:
                 out += queue.pop(rng.uniform(1, 50)) is not None
-            queue.correct(team, rng.uniform(-20, 20))
+            queue.adjust_charge(team, rng.uniform(-20, 20))
             self.assertLessEqual(len(queue), 30)
             self.assertEqual(len(list(queue)), len(queue))
         self.assertEqual(pushed, out + len(queue))
 
 
 class TestPriorities(unittest.TestCase):
-    def test_rush_goes_before_batch(self):
+    def test_higher_priority_is_served_first(self):
         queue = FairQueue(100)
         fill(queue, "gym", 3, priority=2)
         fill(queue, "gym", 2, priority=0)
         classes = [one.priority for one in served(queue, 5)]
         self.assertEqual(classes, [0, 0, 2, 2, 2])
 
-    def test_batch_is_not_starved_by_its_own_team(self):
-        """A gym's nightly report never runs while its members keep asking."""
+    def test_low_priority_is_not_starved_by_its_own_team(self):
+        """Guards against urgent requests of a team starving its batch work."""
         queue = FairQueue(1_000)
         fill(queue, "gym", 1, priority=2)
         fill(queue, "gym", 100, priority=0)
         self.assertIn(2, [one.priority for one in served(queue, 10)])
 
-    def test_class_gives_no_more_than_the_share(self):
-        """A team that marks all its work urgent would starve the others."""
+    def test_priority_does_not_raise_the_share(self):
+        """Guards against a team starving others by marking all its work urgent."""
         queue = FairQueue(1_000)
         fill(queue, "urgent", 200, priority=0)
         fill(queue, "patient", 200, priority=2)
--- a/tests/routing/test_subsets.py
+++ b/tests/routing/test_subsets.py
@@ -22,13 +22,15 @@
 
     def test_replaced_host_moves_one_member(self):
         before = choose_subset("entry-1", HOSTS, 5)
-        gone = min(before)
-        after = choose_subset("entry-1", [row for row in HOSTS if row[0] != gone], 5)
+        replaced = min(before)
+        after = choose_subset(
+            "entry-1", [row for row in HOSTS if row[0] != replaced], 5
+        )
         self.assertEqual(len(before - after), 1)
         self.assertEqual(len(after - before), 1)
 
-    def test_every_upstream_is_somebodys(self):
-        """Some engines idle all day: no entry's subset has them."""
+    def test_every_upstream_is_in_a_subset(self):
+        """Guards against upstreams that idle because no entry's subset has them."""
         watched = collections.Counter(
             host
             for entry in range(60)
