--- a/packages/daemon/src/fuchsiahatch_daemon/binder.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/binder.py
@@ -14,10 +14,10 @@
 from fuchsiahatch_core.exceptions import PlatformError, RefusedError
 from fuchsiahatch_delivery.bindings import (
     Create,
-    Found,
+    CreateReply,
     Read,
+    ReadReply,
     SharedLease,
-    Write,
     bind,
 )
 from fuchsiahatch_delivery.limits import TokenBucket
@@ -64,7 +64,7 @@
             When the service can't be asked now; this try started nothing.
         """
         steps = bind(team, key, ticket)
-        reply: Write | Found | None = None
+        reply: CreateReply | ReadReply | None = None
         while True:
             try:
                 ask = steps.send(reply)
@@ -74,7 +74,7 @@
                 self._create(ask) if isinstance(ask, Create) else self._read(ask)
             )
 
-    async def _create(self, ask: Create) -> Write:
+    async def _create(self, ask: Create) -> CreateReply:
         self._spend()
         try:
             lease_id = await self._take_lease()
@@ -85,18 +85,20 @@
                 RETRY_AFTER_MS,
             ) from fault
         try:
-            return Write(await self._key_value.swap(ask.key, ask.value, 0, lease_id))
+            return CreateReply(
+                await self._key_value.swap(ask.key, ask.value, 0, lease_id)
+            )
         except PlatformError as fault:
             log_event(Event.SERVICE_CALL_FAILED, detail=fault.detail)
-            return Write(None)
+            return CreateReply(None)
 
-    async def _read(self, ask: Read) -> Found:
+    async def _read(self, ask: Read) -> ReadReply:
         self._spend()
         try:
-            return Found((await self._key_value.get(ask.key)).value)
+            return ReadReply((await self._key_value.get(ask.key)).value)
         except PlatformError as fault:
             log_event(Event.SERVICE_CALL_FAILED, detail=fault.detail)
-            return Found(None)
+            return ReadReply(None)
 
     def _spend(self) -> None:
         # Bindings share the entry's calls with its questions after the placement
--- a/packages/daemon/src/fuchsiahatch_daemon/dispatch.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/dispatch.py
@@ -17,11 +17,11 @@
 from fuchsiahatch_daemon.hops import NOT_FRESH_DETAIL, Errand, Hops, Send
 from fuchsiahatch_daemon.retries import Retries
 from fuchsiahatch_daemon.standings import Standings
+from fuchsiahatch_delivery.deliveries import deliver_keyed, deliver_without_key
+from fuchsiahatch_delivery.home_calls import Delivery, Outcome, Reply, Standing
 from fuchsiahatch_delivery.keys import fingerprint_of
-from fuchsiahatch_delivery.moves import Reply, Standing, Walk, Word
 from fuchsiahatch_delivery.tickets import Ticket, check_ticket, decode_ticket
 from fuchsiahatch_delivery.verdicts import Verdict
-from fuchsiahatch_delivery.walks import walk_key, walk_without_key
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_core.clock import Clock
@@ -80,25 +80,25 @@
         errand = self._make_errand(request, send)
         try:
             async with asyncio.timeout(request.deadline_ms / 1000):
-                word = await self._take(errand)
+                outcome = await self._take(errand)
         except TimeoutError:
             raise _deadline_passed(errand) from None
-        if word.verdict is not Verdict.DONE:
-            raise _fault_of(word)
+        if outcome.verdict is not Verdict.DONE:
+            raise _fault_of(outcome)
 
-    async def _take(self, errand: Errand) -> Word:
+    async def _take(self, errand: Errand) -> Outcome:
         if errand.request.key:
-            walk = self._walk_key(errand, await self._ticket(errand.request))
+            delivery = self._deliver_keyed(errand, await self._ticket(errand.request))
         else:
-            walk = self._walk_without_key(errand.request)
+            delivery = self._deliver_without_key(errand.request)
         reply: Reply | None = None
         while True:
             try:
-                move = walk.send(reply)
+                call = delivery.send(reply)
             except StopIteration as end:
                 return end.value
-            with self._selection.outstanding(move.home.host):
-                reply = await self._hops.ask(move, errand)
+            with self._selection.outstanding(call.home.host):
+                reply = await self._hops.ask(call, errand)
 
     async def _ticket(self, request: "CallerRequest") -> Ticket:
         if request.ticket:
@@ -108,7 +108,7 @@
         made = self._standings.make_ticket(request.team, request.target)
         return await self._binder.bind(request.team, request.key, made)
 
-    def _walk_key(self, errand: Errand, ticket: Ticket) -> Walk:
+    def _deliver_keyed(self, errand: Errand, ticket: Ticket) -> Delivery:
         request = errand.request
         order = ticket.rank(request.key)
         errand.issued_ms = {one.home: one.issued_ms for one in order}
@@ -116,19 +116,19 @@
         def standing_of(home: Home) -> Standing:
             return self._standings.standing(home, request.team, request.target)
 
-        return walk_key([one.home for one in order], standing_of)
+        return deliver_keyed([one.home for one in order], standing_of)
 
-    def _walk_without_key(self, request: "CallerRequest") -> Walk:
+    def _deliver_without_key(self, request: "CallerRequest") -> Delivery:
         def choose(tried: frozenset[str]) -> Home | None:
             candidate = self._selection.select(
                 request.team, request.target, request.body, tried
             )
             return candidate.upstream.home if candidate else None
 
-        return walk_without_key(choose, self._spend, request.idempotent)
+        return deliver_without_key(choose, self._spend, request.idempotent)
 
-    def _spend(self, word: Word | None) -> None:
-        self.retries.spend(_fault_of(word) if word is not None else None)
+    def _spend(self, outcome: Outcome | None) -> None:
+        self.retries.spend(_fault_of(outcome) if outcome is not None else None)
 
     def _make_errand(self, request: "CallerRequest", send: Send) -> Errand:
         end_ms = self._clock.now_ms() + request.deadline_ms
@@ -152,13 +152,13 @@
     return AttemptError(detail, Code.DEADLINE_PASSED, RETRY_AFTER_MS)
 
 
-def _fault_of(word: Word) -> FuchsiahatchError:
-    retry_after_ms = word.retry_after_ms or RETRY_AFTER_MS
-    if word.verdict is Verdict.UNKNOWN:
-        log_event(Event.ATTEMPT_UNKNOWN, code=int(word.code))
-        return AttemptError(word.detail, word.code, retry_after_ms)
-    if word.code <= _LAST_CALLER_CODE:
-        return RequestError(word.detail, word.code)
-    fault = RefusedError(word.detail, word.code, retry_after_ms)
-    fault.whole_key = word.whole_key
+def _fault_of(outcome: Outcome) -> FuchsiahatchError:
+    retry_after_ms = outcome.retry_after_ms or RETRY_AFTER_MS
+    if outcome.verdict is Verdict.UNKNOWN:
+        log_event(Event.ATTEMPT_UNKNOWN, code=int(outcome.code))
+        return AttemptError(outcome.detail, outcome.code, retry_after_ms)
+    if outcome.code <= _LAST_CALLER_CODE:
+        return RequestError(outcome.detail, outcome.code)
+    fault = RefusedError(outcome.detail, outcome.code, retry_after_ms)
+    fault.whole_key = outcome.whole_key
     return fault
--- a/packages/daemon/src/fuchsiahatch_daemon/hops.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/hops.py
@@ -12,18 +12,18 @@
 from fuchsiahatch_core.exceptions import AttemptError
 from fuchsiahatch_core.identities import AttemptId, Home
 from fuchsiahatch_daemon import rpc
-from fuchsiahatch_delivery.intake import Intake
-from fuchsiahatch_delivery.keys import text_of_attempt, text_of_key
-from fuchsiahatch_delivery.moves import (
+from fuchsiahatch_delivery.home_calls import (
     Answered,
-    Ask,
-    Broken,
-    Move,
+    HomeCall,
+    HopFailed,
+    Operation,
     Refused,
     Reply,
     Standing,
-    Told,
+    VerdictReply,
 )
+from fuchsiahatch_delivery.intake import Intake
+from fuchsiahatch_delivery.keys import text_of_attempt, text_of_key
 from fuchsiahatch_delivery.verdicts import Verdict
 from fuchsiahatch_wire import attempts_pb2
 from fuchsiahatch_wire.attempts_grpc import AttemptsStub
@@ -86,7 +86,7 @@
     channels : Channels
     standings : Standings
     selection : Selection
-        Told of the load and the leaving that frames carry.
+        Receives the load and the leaving that frames carry.
     read_revision : callable
         The placement revision that this entry decides on.
     is_fresh : callable
@@ -127,23 +127,27 @@
         self._is_fresh = is_fresh
         self._counter = itertools.count(1)
 
-    async def ask(self, move: Move, errand: Errand) -> Reply:
+    async def ask(self, call: HomeCall, errand: Errand) -> Reply:
         """Make one move for a request."""
-        address = self._standings.address(move.home)
+        address = self._standings.address(call.home)
         if address is None:
-            return Broken("the host is off the list")
+            return HopFailed("the host is off the list")
         stub = AttemptsStub(self._channels.to(address))
-        if move.ask is Ask.RUN:
-            return await self._run(stub, move.home, errand)
-        if self._is_gone(move.home, errand):
-            return Broken("the home is gone")
-        asks = {Ask.FIND: self._find, Ask.FENCE: _fence, Ask.RESOLVE: _resolve}
-        return await asks[move.ask](stub, move.home, errand)
+        if call.operation is Operation.RUN:
+            return await self._run(stub, call.home, errand)
+        if self._is_gone(call.home, errand):
+            return HopFailed("the home is gone")
+        asks = {
+            Operation.FIND: self._find,
+            Operation.FENCE: _fence,
+            Operation.RESOLVE: _resolve,
+        }
+        return await asks[call.operation](stub, call.home, errand)
 
     def _is_gone(self, home: Home, errand: Errand) -> bool:
         request = errand.request
         standing = self._standings.standing(home, request.team, request.target)
-        return standing is Standing.GONE
+        return standing is Standing.UNREACHABLE
 
     async def _run(self, stub: AttemptsStub, home: Home, errand: Errand) -> Reply:
         request = errand.request
@@ -204,10 +208,10 @@
                 await stream.send_message(message, end=True)
                 return await self._take_frames(stream, intake, home, errand.send)
         except AttemptError as fault:
-            return Broken(fault.detail, intake.first_byte_sent)
+            return HopFailed(fault.detail, intake.first_byte_sent)
         except Exception as fault:
             detail = f"the hop to {home.host} broke: {type(fault).__name__}"
-            return Broken(detail, intake.first_byte_sent)
+            return HopFailed(detail, intake.first_byte_sent)
 
     @contextlib.asynccontextmanager
     async def _while_heard_of(self, home: Home) -> t.AsyncIterator[None]:
@@ -295,11 +299,11 @@
     try:
         reply = await asked
     except Exception as fault:
-        return Broken(f"no word from {home.host}: {type(fault).__name__}")
+        return HopFailed(f"no word from {home.host}: {type(fault).__name__}")
     if reply.incarnation != home.incarnation:
         detail = "the home was restarted since"
         return Refused(Verdict.UNKNOWN, Code.WRONG_HOME, detail)
-    return Told(Verdict(reply.verdict))
+    return VerdictReply(Verdict(reply.verdict))
 
 
 def _key_text(errand: Errand) -> str:
--- a/packages/daemon/src/fuchsiahatch_daemon/standings.py
+++ b/packages/daemon/src/fuchsiahatch_daemon/standings.py
@@ -7,7 +7,7 @@
 from fuchsiahatch_core.defaults import RETRY_AFTER_MS, TICKET_HOMES
 from fuchsiahatch_core.exceptions import RefusedError
 from fuchsiahatch_core.identities import Home, Offer
-from fuchsiahatch_delivery.moves import Standing
+from fuchsiahatch_delivery.home_calls import Standing
 from fuchsiahatch_delivery.tickets import Ticket, TicketHome
 from fuchsiahatch_placement.records import parse_offer
 from fuchsiahatch_routing.candidates import (
@@ -59,7 +59,7 @@
         """Return how a home stands for a team's request."""
         view = self._view(home)
         if view is None or _is_gone(view, home):
-            return Standing.GONE
+            return Standing.UNREACHABLE
         if view.leaving or self.offer(home, team, target) is None:
             return Standing.LEAVING
         return Standing.SERVING
--- a/packages/delivery/src/fuchsiahatch_delivery/bindings.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/bindings.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Create:
-    """Write the value if the key is absent; the reply is a `Write`."""
+    """Request to create a key with a value; answered by a `CreateReply`."""
 
     key: str
     value: bytes
@@ -23,26 +23,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """Read the key; the reply is a `Found`."""
+    """Request to read a key; answered by a `ReadReply`."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Write:
+class CreateReply:
     """What came of a create; None when its answer was lost."""
 
     created: bool | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
+class ReadReply:
     """What a read gave; None when the service gave no answer."""
 
     value: bytes | None
 
 
-Binding = t.Generator[Create | Read, Write | Found, Ticket]
+Binding = t.Generator[Create | Read, CreateReply | ReadReply, Ticket]
 
 
 def binding_key(team: str, key: str) -> str:
--- a/packages/delivery/src/fuchsiahatch_delivery/walks.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/deliveries.py
@@ -6,32 +6,32 @@
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.defaults import RETRY_AFTER_MS
 from fuchsiahatch_core.identities import Home
-from fuchsiahatch_delivery.moves import (
+from fuchsiahatch_delivery.home_calls import (
     DONE,
     Answered,
-    Ask,
-    Broken,
-    Move,
+    Delivery,
+    HomeCall,
+    HopFailed,
+    Operation,
+    Outcome,
     Refused,
     Reply,
     Standing,
-    Told,
-    Walk,
-    Word,
+    VerdictReply,
 )
 from fuchsiahatch_delivery.verdicts import Verdict
 
 _MAX_RUNS_AT_HOME = 2
 _MAX_HOMES_WITHOUT_KEY = 3
 _ENDED = (Verdict.RUNNING, Verdict.DONE)
-_HOME_GONE = Word(
+_HOME_GONE = Outcome(
     Verdict.UNKNOWN,
     Code.HOME_GONE,
     "the key's home is gone, and this try was not sent; if it was the first, take a"
     " new ticket, else whether the key ran is not known",
     RETRY_AFTER_MS,
 )
-_HOME_LOST = Word(
+_HOME_LOST = Outcome(
     Verdict.UNKNOWN,
     Code.UNKNOWN,
     "the key's home was lost while it was asked; whether it ran is not known",
@@ -50,9 +50,9 @@
     SENT = "sent"
 
 
-def walk_key(
+def deliver_keyed(
     order: t.Sequence[Home], standing_of: t.Callable[[Home], Standing]
-) -> Walk:
+) -> Delivery:
     """Take a key along its homes.
 
     Parameters
@@ -64,12 +64,12 @@
 
     Yields
     ------
-    Move
+    HomeCall
         To be answered by a reply.
 
     Returns
     -------
-    Word
+    Outcome
     """
     for number, home in enumerate(order):
         end = yield from _try_home(home, standing_of(home))
@@ -77,17 +77,19 @@
             return (yield from _ask_rest(order[number + 1 :], _HOME_GONE))
         if end is _Lost.SENT:
             return (yield from _ask_rest(order[number + 1 :], _HOME_LOST))
-        if isinstance(end, Word):
+        if isinstance(end, Outcome):
             return end
     detail = "every home of the key is leaving and has fenced it; take a new ticket"
-    return Word(Verdict.NOT_RUN, Code.LEAVING, detail, RETRY_AFTER_MS, whole_key=True)
+    return Outcome(
+        Verdict.NOT_RUN, Code.LEAVING, detail, RETRY_AFTER_MS, whole_key=True
+    )
 
 
-def walk_without_key(
+def deliver_without_key(
     choose: t.Callable[[frozenset[str]], Home | None],
-    spend: t.Callable[[Word | None], None],
+    spend: t.Callable[[Outcome | None], None],
     idempotent: bool,
-) -> Walk:
+) -> Delivery:
     """Take a request without a key to upstreams.
 
     Parameters
@@ -102,44 +104,44 @@
 
     Yields
     ------
-    Move
+    HomeCall
 
     Returns
     -------
-    Word
+    Outcome
     """
     tried: set[str] = set()
-    word = Word(
+    outcome = Outcome(
         Verdict.NOT_RUN, Code.OVERLOADED, "every candidate has refused", RETRY_AFTER_MS
     )
     while len(tried) < _MAX_HOMES_WITHOUT_KEY:
         home = choose(frozenset(tried))
         if home is None:
             break
-        spend(word if tried else None)
+        spend(outcome if tried else None)
         tried.add(home.host)
         end = yield from _try_once(home, idempotent)
         if end.verdict is Verdict.DONE or not _may_go_on(end, idempotent):
             return end
-        word = end
-    return word
+        outcome = end
+    return outcome
 
 
 def _try_home(
     home: Home, standing: Standing
-) -> t.Generator[Move, Reply, "Word | _Lost | None"]:
+) -> t.Generator[HomeCall, Reply, "Outcome | _Lost | None"]:
     """Return a word, or how the home is lost, or None to go on to the next."""
-    if standing is Standing.GONE:
+    if standing is Standing.UNREACHABLE:
         return _Lost.UNSENT
     if standing is Standing.LEAVING:
         return (yield from _fence(home))
     for _ in range(_MAX_RUNS_AT_HOME):
-        reply = yield Move(Ask.RUN, home)
-        if isinstance(reply, Broken) and not reply.first_byte_sent:
-            reply = yield Move(Ask.RESOLVE, home)
-            if isinstance(reply, Broken):
+        reply = yield HomeCall(Operation.RUN, home)
+        if isinstance(reply, HopFailed) and not reply.first_byte_sent:
+            reply = yield HomeCall(Operation.RESOLVE, home)
+            if isinstance(reply, HopFailed):
                 return _Lost.SENT
-        if isinstance(reply, Told) and reply.verdict in _ENDED:
+        if isinstance(reply, VerdictReply) and reply.verdict in _ENDED:
             return (yield from _find(home))
         if isinstance(reply, Refused) and reply.code is Code.WRONG_HOME:
             return _Lost.UNSENT
@@ -150,85 +152,85 @@
     return _word_of(reply)
 
 
-def _fence(home: Home) -> t.Generator[Move, Reply, "Word | _Lost | None"]:
+def _fence(home: Home) -> t.Generator[HomeCall, Reply, "Outcome | _Lost | None"]:
     # To go on without the home's own word would let a late order of an earlier try
     # run the key here while the next home runs it too: two holds for one member.
-    reply = yield Move(Ask.FENCE, home)
-    if isinstance(reply, Told) and reply.verdict is Verdict.NOT_RUN:
+    reply = yield HomeCall(Operation.FENCE, home)
+    if isinstance(reply, VerdictReply) and reply.verdict is Verdict.NOT_RUN:
         return None
-    if isinstance(reply, Told) and reply.verdict in _ENDED:
+    if isinstance(reply, VerdictReply) and reply.verdict in _ENDED:
         return (yield from _find(home))
-    if isinstance(reply, Broken) or getattr(reply, "code", None) is Code.WRONG_HOME:
+    if isinstance(reply, HopFailed) or getattr(reply, "code", None) is Code.WRONG_HOME:
         return _Lost.UNSENT
     return _word_of(reply)
 
 
-def _find(home: Home) -> t.Generator[Move, Reply, Word]:
-    reply = yield Move(Ask.FIND, home)
+def _find(home: Home) -> t.Generator[HomeCall, Reply, Outcome]:
+    reply = yield HomeCall(Operation.FIND, home)
     if isinstance(reply, Refused) and reply.code is Code.NOT_FOUND:
         return _unknown("the key's answer is no longer at its home")
     return _word_of(reply)
 
 
-def _ask_rest(rest: t.Sequence[Home], word: Word) -> Walk:
+def _ask_rest(rest: t.Sequence[Home], outcome: Outcome) -> Delivery:
     # A home that has died took its memory along: whether it ran the key, nobody
     # knows. An earlier try may have found it leaving, fenced the key there and gone
     # on, so the rest is asked; but to run the key there could be the second run.
     for home in rest:
-        reply = yield Move(Ask.FIND, home)
+        reply = yield HomeCall(Operation.FIND, home)
         if isinstance(reply, Answered):
             return DONE
-        if isinstance(reply, Broken) and reply.first_byte_sent:
+        if isinstance(reply, HopFailed) and reply.first_byte_sent:
             return _word_of(reply)
         if isinstance(reply, Refused) and reply.code is Code.KEY_REUSED:
             return _word_of(reply)
-    return word
+    return outcome
 
 
-def _try_once(home: Home, idempotent: bool) -> Walk:
-    reply = yield Move(Ask.RUN, home)
-    broken = isinstance(reply, Broken) and not reply.first_byte_sent
+def _try_once(home: Home, idempotent: bool) -> Delivery:
+    reply = yield HomeCall(Operation.RUN, home)
+    broken = isinstance(reply, HopFailed) and not reply.first_byte_sent
     if not broken or idempotent:
         return _word_of(reply)
-    reply = yield Move(Ask.RESOLVE, home)
-    if isinstance(reply, Told) and reply.verdict in _ENDED:
+    reply = yield HomeCall(Operation.RESOLVE, home)
+    if isinstance(reply, VerdictReply) and reply.verdict in _ENDED:
         return (yield from _find(home))
     return _word_of(reply)
 
 
-def _may_go_on(word: Word, idempotent: bool) -> bool:
-    if word.code is Code.TRUNCATED:
+def _may_go_on(outcome: Outcome, idempotent: bool) -> bool:
+    if outcome.code is Code.TRUNCATED:
         return False
-    if word.verdict is Verdict.NOT_RUN:
-        return int(word.code) >= Code.NO_ALLOWED_PLACE
+    if outcome.verdict is Verdict.NOT_RUN:
+        return int(outcome.code) >= Code.NO_ALLOWED_PLACE
     return idempotent
 
 
 def _is_not_run(reply: Reply) -> bool:
-    if isinstance(reply, Told):
+    if isinstance(reply, VerdictReply):
         return reply.verdict is Verdict.NOT_RUN
     return isinstance(reply, Refused) and reply.code is Code.NOT_RUN
 
 
-def _word_of(reply: Reply) -> Word:
+def _word_of(reply: Reply) -> Outcome:
     if isinstance(reply, Answered):
         return DONE
-    if isinstance(reply, Broken) and reply.first_byte_sent:
-        return Word(Verdict.UNKNOWN, Code.TRUNCATED, reply.detail, RETRY_AFTER_MS)
+    if isinstance(reply, HopFailed) and reply.first_byte_sent:
+        return Outcome(Verdict.UNKNOWN, Code.TRUNCATED, reply.detail, RETRY_AFTER_MS)
     if isinstance(reply, Refused):
         return _word_of_refusal(reply)
-    if isinstance(reply, Told) and reply.verdict is Verdict.NOT_RUN:
+    if isinstance(reply, VerdictReply) and reply.verdict is Verdict.NOT_RUN:
         detail = "the home was asked again and again, and ran nothing"
-        return Word(Verdict.NOT_RUN, Code.NOT_RUN, detail, RETRY_AFTER_MS)
+        return Outcome(Verdict.NOT_RUN, Code.NOT_RUN, detail, RETRY_AFTER_MS)
     return _unknown("the hop to the upstream broke; whether it ran is not known")
 
 
-def _word_of_refusal(reply: Refused) -> Word:
+def _word_of_refusal(reply: Refused) -> Outcome:
     if reply.first_byte_sent:
-        return Word(Verdict.UNKNOWN, Code.TRUNCATED, reply.detail, RETRY_AFTER_MS)
+        return Outcome(Verdict.UNKNOWN, Code.TRUNCATED, reply.detail, RETRY_AFTER_MS)
     verdict = reply.verdict if reply.verdict is Verdict.NOT_RUN else Verdict.UNKNOWN
-    return Word(verdict, reply.code, reply.detail, reply.retry_after_ms)
+    return Outcome(verdict, reply.code, reply.detail, reply.retry_after_ms)
 
 
-def _unknown(detail: str) -> Word:
-    return Word(Verdict.UNKNOWN, Code.UNKNOWN, detail, RETRY_AFTER_MS)
+def _unknown(detail: str) -> Outcome:
+    return Outcome(Verdict.UNKNOWN, Code.UNKNOWN, detail, RETRY_AFTER_MS)
--- a/packages/delivery/src/fuchsiahatch_delivery/moves.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/home_calls.py
@@ -24,10 +24,10 @@
 
     SERVING = "serving"
     LEAVING = "leaving"
-    GONE = "gone"
+    UNREACHABLE = "gone"
 
 
-class Ask(enum.Enum):
+class Operation(enum.Enum):
     """What the walk asks of a home.
 
     Attributes
@@ -49,10 +49,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Move:
+class HomeCall:
     """One question to one home."""
 
-    ask: Ask
+    operation: Operation
     home: Home
 
 
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
+class HopFailed:
     """The hop to the home broke, or there was none."""
 
     detail: str
@@ -81,17 +81,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class VerdictReply:
     """The home's word on an attempt or a key."""
 
     verdict: Verdict
 
 
-Reply = Answered | Refused | Broken | Told
+Reply = Answered | Refused | HopFailed | VerdictReply
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class Outcome:
     """The final word on a request.
 
     Attributes
@@ -112,6 +112,6 @@
     whole_key: bool = False
 
 
-DONE = Word(Verdict.DONE)
+DONE = Outcome(Verdict.DONE)
 
-Walk = t.Generator[Move, Reply, Word]
+Delivery = t.Generator[HomeCall, Reply, Outcome]
--- a/tests/daemon/test_hops.py
+++ b/tests/daemon/test_hops.py
@@ -4,7 +4,7 @@
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.identities import Home, Offer
 from fuchsiahatch_daemon.hops import Errand, Hops
-from fuchsiahatch_delivery.moves import Ask, Move
+from fuchsiahatch_delivery.home_calls import HomeCall, Operation
 from fuchsiahatch_delivery.verdicts import Verdict
 from fuchsiahatch_routing.candidates import Target
 from tests.loopback import run
@@ -66,7 +66,7 @@
             lambda: False,
         )
         errand = make_errand()
-        reply = run(hops.ask(Move(Ask.RUN, HOME), errand))
+        reply = run(hops.ask(HomeCall(Operation.RUN, HOME), errand))
         self.assertEqual((reply.verdict, reply.code), (Verdict.NOT_RUN, Code.NOT_FRESH))
         self.assertGreater(reply.retry_after_ms, 0)
         self.assertFalse(errand.sent)
--- a/tests/delivery/sessions.py
+++ b/tests/delivery/sessions.py
@@ -16,22 +16,22 @@
 from fuchsiahatch_core.exceptions import AttemptError, FuchsiahatchError, RefusedError
 from fuchsiahatch_core.identities import AttemptId, Home
 from fuchsiahatch_delivery.answers import AnswerMeter
-from fuchsiahatch_delivery.bindings import Create, Found, Write, bind
-from fuchsiahatch_delivery.intake import Intake
-from fuchsiahatch_delivery.keys import LedgerKey, fingerprint_of, text_of_key
-from fuchsiahatch_delivery.ledger import Follow, KeptAnswer, Ledger, Replay, RunOrder
-from fuchsiahatch_delivery.moves import (
+from fuchsiahatch_delivery.bindings import Create, CreateReply, ReadReply, bind
+from fuchsiahatch_delivery.deliveries import deliver_keyed
+from fuchsiahatch_delivery.home_calls import (
     Answered,
-    Ask,
-    Broken,
+    HopFailed,
+    Operation,
+    Outcome,
     Refused,
     Standing,
-    Told,
-    Word,
+    VerdictReply,
 )
+from fuchsiahatch_delivery.intake import Intake
+from fuchsiahatch_delivery.keys import LedgerKey, fingerprint_of, text_of_key
+from fuchsiahatch_delivery.ledger import Follow, KeptAnswer, Ledger, Replay, RunOrder
 from fuchsiahatch_delivery.tickets import Ticket, TicketHome
 from fuchsiahatch_delivery.verdicts import Verdict
-from fuchsiahatch_delivery.walks import walk_key
 
 TEAM, TARGET = "gym-bangsar", "hold-and-cancel"
 QUEUE_MS, RUN_MS, SILENT_MS = 10, 100, 3_000
@@ -179,13 +179,13 @@
         self._end_queued(key, verdict)
         if verdict is Verdict.NOT_RUN:
             self.session.not_run.add(attempt)
-        reply(Told(verdict))
+        reply(VerdictReply(verdict))
 
     def on_fence(self, key, reply):
         verdict = self.ledger.fence(key, self.session.clock.now_ms())
         self.say(f"fence of {key.text}: {verdict.name}")
         self._end_queued(key, verdict)
-        reply(Told(verdict))
+        reply(VerdictReply(verdict))
 
     def on_find(self, key, fingerprint, reply):
         now_ms = self.session.clock.now_ms()
@@ -251,7 +251,7 @@
     question: int = 0
     intake: Intake | None = None
     text: bytes = b""
-    word: Word | None = None
+    outcome: Outcome | None = None
     frames: list = dataclasses.field(default_factory=list)
 
 
@@ -279,7 +279,7 @@
         call = Call(self, key, body, ticket)
         self.calls.append(call)
         order = [one.home for one in ticket.rank(key)]
-        call.walk = walk_key(order, self.standing)
+        call.walk = deliver_keyed(order, self.standing)
         self.say(f"caller asks for {key} with {body.decode()}")
         self._step(call, None)
         return call
@@ -287,28 +287,28 @@
     def standing(self, home):
         fake = self.session.homes[home.host]
         if fake.known_gone:
-            return Standing.GONE
+            return Standing.UNREACHABLE
         known_leaving = fake.leaving and not self.lag_ms
         return Standing.LEAVING if known_leaving else Standing.SERVING
 
     def _step(self, call, reply):
-        if not self.alive or call.word is not None:
+        if not self.alive or call.outcome is not None:
             return
         try:
             move = call.walk.send(reply)
         except StopIteration as end:
-            call.word = end.value
+            call.outcome = end.value
             self._say_end(call)
             return
         self._ask(call, move)
 
     def _ask(self, call, move):
         fake = self.session.homes[move.home.host]
-        self.say(f"{move.ask.value} {call.key} at {move.home.host}")
+        self.say(f"{move.operation.value} {call.key} at {move.home.host}")
         key = LedgerKey(TEAM, text_of_key(call.key))
         digest = fingerprint_of("POST", "/holds", TARGET, call.body)
         previous = call.attempt
-        if move.ask in (Ask.RUN, Ask.FIND):
+        if move.operation in (Operation.RUN, Operation.FIND):
             call.attempt = AttemptId(self.name, "life-1", next(self._counter))
             call.intake = Intake(call.attempt)
         attempt = call.attempt
@@ -317,7 +317,7 @@
         ask = functools.partial(
             self.session.send, fake.take, fake.take_question, move.home.incarnation
         )
-        if move.ask is Ask.RUN:
+        if move.operation is Operation.RUN:
             issued_ms = next(
                 one.issued_ms for one in call.ticket.homes if one.home == move.home
             )
@@ -326,14 +326,14 @@
             self.session.later(
                 SILENT_MS + 10, self._note_silence, call, call.question, fake
             )
-        elif move.ask is Ask.RESOLVE:
+        elif move.operation is Operation.RESOLVE:
             ask(fake.on_resolve, key, previous, reply)
-        elif move.ask is Ask.FENCE:
+        elif move.operation is Operation.FENCE:
             ask(fake.on_fence, key, reply)
         else:
             ask(fake.on_find, key, digest, reply)
         if not fake.alive or fake.known_gone:
-            reply(Broken("no connection"))
+            reply(HopFailed("no connection"))
 
     def _replier(self, call, attempt):
         question = call.question
@@ -345,12 +345,12 @@
 
     def _note_silence(self, call, question, fake):
         if fake.known_gone:
-            self._on_reply(call, question, call.attempt, Broken("silent"))
+            self._on_reply(call, question, call.attempt, HopFailed("silent"))
 
     def break_hop(self, call):
         """Break the connection that a call waits on."""
         self.say("hop breaks")
-        self._step(call, Broken("connection lost"))
+        self._step(call, HopFailed("connection lost"))
 
     def _on_reply(self, call, question, attempt, message):
         if not self.alive:
@@ -370,7 +370,7 @@
                 return
             self._take_frame(call, sequence, message)
         except AttemptError as fault:
-            self._step(call, Broken(fault.detail, call.intake.first_byte_sent))
+            self._step(call, HopFailed(fault.detail, call.intake.first_byte_sent))
 
     def _take_frame(self, call, sequence, message):
         call.frames.append((call.attempt, sequence, message))
@@ -383,12 +383,12 @@
         call.text += message
 
     def _say_end(self, call):
-        word = call.word
-        if word.verdict is Verdict.DONE:
+        outcome = call.outcome
+        if outcome.verdict is Verdict.DONE:
             self.say(f"caller has {call.text.decode()!r} for {call.key}")
             return
-        scope = " for the whole key" if word.whole_key else ""
-        self.say(f"caller has {word.verdict.name} ({word.code.name}){scope}")
+        scope = " for the whole key" if outcome.whole_key else ""
+        self.say(f"caller has {outcome.verdict.name} ({outcome.code.name}){scope}")
 
 
 class FakeService:
@@ -421,9 +421,9 @@
             lost = self.down or self.loses_answers > 0
             self.loses_answers -= 1
             entry.say("create: " + ("answer lost" if lost else str(created)))
-            return Write(None if lost else created)
+            return CreateReply(None if lost else created)
         entry.say("read: " + ("no answer" if self.down else "answered"))
-        return Found(None if self.down else self.rows.get(ask.key, b""))
+        return ReadReply(None if self.down else self.rows.get(ask.key, b""))
 
 
 def refused_by(fault):
--- a/tests/delivery/test_bindings.py
+++ b/tests/delivery/test_bindings.py
@@ -3,7 +3,13 @@
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.exceptions import RefusedError, RequestError
 from fuchsiahatch_core.identities import Home
-from fuchsiahatch_delivery.bindings import Found, SharedLease, Write, bind, binding_key
+from fuchsiahatch_delivery.bindings import (
+    CreateReply,
+    ReadReply,
+    SharedLease,
+    bind,
+    binding_key,
+)
 from fuchsiahatch_delivery.limits import TokenBucket
 from fuchsiahatch_delivery.tickets import Ticket, TicketHome, encode_ticket
 
@@ -25,18 +31,28 @@
 
 class TestBind(unittest.TestCase):
     def test_created_is_own_and_lost_race_is_the_others(self):
-        self.assertEqual(drive([Write(True)]), OWN)
-        self.assertEqual(drive([Write(False), Found(OTHER_VALUE)]), OTHER)
+        self.assertEqual(drive([CreateReply(True)]), OWN)
+        self.assertEqual(drive([CreateReply(False), ReadReply(OTHER_VALUE)]), OTHER)
 
     def test_lost_answer_that_did_not_land_is_created_again(self):
-        self.assertEqual(drive([Write(None), Found(b""), Write(True)]), OWN)
+        self.assertEqual(
+            drive([CreateReply(None), ReadReply(b""), CreateReply(True)]), OWN
+        )
 
     def test_late_landing_of_a_lost_create_decides(self):
-        replies = [Write(None), Found(b""), Write(False), Found(OTHER_VALUE)]
+        replies = [
+            CreateReply(None),
+            ReadReply(b""),
+            CreateReply(False),
+            ReadReply(OTHER_VALUE),
+        ]
         self.assertEqual(drive(replies), OTHER)
 
     def test_silent_service_starts_nothing(self):
-        for replies in ([Write(None), Found(None)], [Write(None), Found(b"")] * 2):
+        for replies in (
+            [CreateReply(None), ReadReply(None)],
+            [CreateReply(None), ReadReply(b"")] * 2,
+        ):
             with self.assertRaises(RefusedError) as seen:
                 drive(replies)
             self.assertIs(seen.exception.result, Code.SERVICE_UNAVAILABLE)
@@ -45,7 +61,7 @@
     def test_key_bound_for_another_target_is_refused(self):
         elsewhere = Ticket("gym", "chat", OWN.homes)
         with self.assertRaises(RequestError) as seen:
-            drive([Write(False), Found(OTHER_VALUE)], elsewhere)
+            drive([CreateReply(False), ReadReply(OTHER_VALUE)], elsewhere)
         self.assertIs(seen.exception.result, Code.KEY_REUSED)
 
     def test_teams_and_keys_do_not_run_together(self):
--- a/tests/delivery/test_walks.py
+++ b/tests/delivery/test_deliveries.py
@@ -2,21 +2,21 @@
 
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.identities import Home
-from fuchsiahatch_delivery.moves import Answered, Broken, Refused, Told
+from fuchsiahatch_delivery.deliveries import deliver_without_key
+from fuchsiahatch_delivery.home_calls import Answered, HopFailed, Refused, VerdictReply
 from fuchsiahatch_delivery.verdicts import Verdict
-from fuchsiahatch_delivery.walks import walk_without_key
 
 FULL = Refused(Verdict.NOT_RUN, Code.OVERLOADED, "full", 700)
 FAILED = Refused(Verdict.UNKNOWN, Code.UPSTREAM_FAILED, "no answer")
-CUT = Broken("cut", first_byte_sent=True)
-LOST = Broken("lost")
+CUT = HopFailed("cut", first_byte_sent=True)
+LOST = HopFailed("lost")
 
 
 def walk(replies, idempotent):
     """Drive a walk over three upstreams; return its moves and its word."""
     hosts = iter(("engine-1", "engine-2", "engine-3"))
     spent = []
-    steps = walk_without_key(
+    steps = deliver_without_key(
         lambda tried: Home(next(hosts), "life"), spent.append, idempotent
     )
     moves = [next(steps)]
@@ -24,46 +24,56 @@
         for reply in replies:
             moves.append(steps.send(reply))
     except StopIteration as end:
-        return [f"{m.ask.value} {m.home.host[-1]}" for m in moves], end.value, spent
+        return (
+            [f"{m.operation.value} {m.home.host[-1]}" for m in moves],
+            end.value,
+            spent,
+        )
     raise AssertionError(f"the walk goes on: {moves[-1]}")
 
 
 class TestWithoutKey(unittest.TestCase):
     def test_not_run_goes_on_whatever_it_is(self):
         for idempotent in (True, False):
-            moves, word, spent = walk([FULL, FULL, Answered()], idempotent)
+            moves, outcome, spent = walk([FULL, FULL, Answered()], idempotent)
             self.assertEqual(moves, ["run 1", "run 2", "run 3"])
-            self.assertIs(word.verdict, Verdict.DONE)
+            self.assertIs(outcome.verdict, Verdict.DONE)
             self.assertEqual([one and one.code for one in spent], [None, 202, 202])
 
     def test_every_upstream_full_is_answered_with_when_to_come_back(self):
-        _, word, _ = walk([FULL, FULL, FULL], True)
-        self.assertEqual((word.verdict, word.retry_after_ms), (Verdict.NOT_RUN, 700))
+        _, outcome, _ = walk([FULL, FULL, FULL], True)
+        self.assertEqual(
+            (outcome.verdict, outcome.retry_after_ms), (Verdict.NOT_RUN, 700)
+        )
 
     def test_repeatable_request_goes_on_after_a_broken_hop(self):
-        moves, word, _ = walk([LOST, FAILED, Answered()], True)
+        moves, outcome, _ = walk([LOST, FAILED, Answered()], True)
         self.assertEqual(moves, ["run 1", "run 2", "run 3"])
-        self.assertIs(word.verdict, Verdict.DONE)
+        self.assertIs(outcome.verdict, Verdict.DONE)
 
     def test_nothing_goes_on_after_a_first_byte(self):
         """A brief begins in one wording and ends in another."""
-        moves, word, _ = walk([CUT], True)
-        self.assertEqual((moves, word.code), (["run 1"], Code.TRUNCATED))
+        moves, outcome, _ = walk([CUT], True)
+        self.assertEqual((moves, outcome.code), (["run 1"], Code.TRUNCATED))
 
     def test_hold_is_not_sent_again_after_a_failure(self):
         """A hold without a key is booked twice.
 
         Its upstream took it and gave no answer; a second upstream would run it too.
         """
-        moves, word, _ = walk([FAILED], False)
-        self.assertEqual((moves, word.verdict), (["run 1"], Verdict.UNKNOWN))
+        moves, outcome, _ = walk([FAILED], False)
+        self.assertEqual((moves, outcome.verdict), (["run 1"], Verdict.UNKNOWN))
 
     def test_hold_goes_on_after_a_broken_hop_only_when_resolved_as_not_run(self):
-        moves, word, _ = walk([LOST, Told(Verdict.NOT_RUN), Answered()], False)
+        moves, outcome, _ = walk(
+            [LOST, VerdictReply(Verdict.NOT_RUN), Answered()], False
+        )
         self.assertEqual(moves, ["run 1", "resolve 1", "run 2"])
-        moves, word, _ = walk([LOST, Told(Verdict.RUNNING), Answered()], False)
+        moves, outcome, _ = walk(
+            [LOST, VerdictReply(Verdict.RUNNING), Answered()], False
+        )
         self.assertEqual(moves, ["run 1", "resolve 1", "find 1"])
-        self.assertIs(word.verdict, Verdict.DONE)
-        moves, word, _ = walk([LOST, LOST], False)
+        self.assertIs(outcome.verdict, Verdict.DONE)
+        moves, outcome, _ = walk([LOST, LOST], False)
         self.assertEqual(moves, ["run 1", "resolve 1"])
-        self.assertIs(word.verdict, Verdict.UNKNOWN)
+        self.assertIs(outcome.verdict, Verdict.UNKNOWN)
--- a/tests/delivery/test_search.py
+++ b/tests/delivery/test_search.py
@@ -49,7 +49,7 @@
             self.calls.append(entry.call(self.rng.choice(KEYS), self.ticket))
 
     def break_hop(self):
-        open_calls = [one for one in self.calls if one.word is None]
+        open_calls = [one for one in self.calls if one.outcome is None]
         if open_calls:
             call = self.rng.choice(open_calls)
             call.entry.break_hop(call)
@@ -100,9 +100,9 @@
     def _faults_of(self, key):
         calls = [one for one in self.calls if one.key == key]
         ran = self.session.runs[f"key/{key}"]
-        words = [one.word for one in calls if one.word is not None]
-        texts = {one.text for one in calls if one.word and _is_done(one.word)}
-        if any(word.whole_key for word in words) and ran:
+        words = [one.outcome for one in calls if one.outcome is not None]
+        texts = {one.text for one in calls if one.outcome and _is_done(one.outcome)}
+        if any(outcome.whole_key for outcome in words) and ran:
             yield f"{key} was said never to run, and ran"
         if len(words) == len(calls) and all(map(_is_not_run, words)) and ran:
             yield f"every try of {key} was said not to be run, and it ran"
@@ -110,12 +110,12 @@
             yield f"{key} has {len(texts)} answers from {ran} runs"
 
 
-def _is_done(word):
-    return word.verdict is Verdict.DONE
+def _is_done(outcome):
+    return outcome.verdict is Verdict.DONE
 
 
-def _is_not_run(word):
-    return word.verdict is Verdict.NOT_RUN
+def _is_not_run(outcome):
+    return outcome.verdict is Verdict.NOT_RUN
 
 
 class TestSearch(unittest.TestCase):
@@ -131,5 +131,5 @@
             one.run()
             story = "\n".join(one.session.close())
             self.assertEqual(one.faults(), [], f"seed {seed}:\n{story}")
-            done += sum(_is_done(call.word) for call in one.calls if call.word)
+            done += sum(_is_done(call.outcome) for call in one.calls if call.outcome)
         self.assertGreater(done, RUNS)
--- a/tests/delivery/test_sessions.py
+++ b/tests/delivery/test_sessions.py
@@ -121,7 +121,7 @@
         self.session.run(10_000)
         retry = self.second.call("k1", self.ticket)
         self.session.run()
-        self.assertIs(retry.word.verdict, Verdict.DONE)
+        self.assertIs(retry.outcome.verdict, Verdict.DONE)
         self.end("first_home_dead_later")
 
     def test_replaced_home_is_not_asked_to_run(self):
@@ -170,7 +170,7 @@
         self.session.run(13)
         calls += [self.second.call(f"k{number}", self.ticket) for number in range(12)]
         self.session.run()
-        self.assertTrue(all(call.word.verdict is Verdict.DONE for call in calls))
+        self.assertTrue(all(call.outcome.verdict is Verdict.DONE for call in calls))
         self.end("agent_stops", runs=12)
 
     def test_every_home_leaves(self):
@@ -200,7 +200,7 @@
         for work, arguments in late:
             home.take(work, *arguments)
         self.session.run(2_000)
-        self.assertIs(call.word.verdict, Verdict.NOT_RUN)
+        self.assertIs(call.outcome.verdict, Verdict.NOT_RUN)
         self.end("late_order", runs=0)
 
     def test_hop_breaks_while_running(self):
@@ -247,7 +247,7 @@
         self.first.on_frame(call, call.attempt, 0, b"hold 1 ")
         self.first.on_frame(call, call.attempt, 2, (7, b"not the digest"))
         self.session.run(1_000)
-        self.assertIs(call.word.verdict, Verdict.UNKNOWN)
+        self.assertIs(call.outcome.verdict, Verdict.UNKNOWN)
         retry = self.second.call("k1", self.ticket)
         self.session.run()
         self.assertEqual(retry.text, b"hold 1 is yours")
@@ -320,5 +320,5 @@
         self.session.run(1_200_000)
         late = self.second.call("k1", self.ticket)
         self.session.run(1_201_000)
-        self.assertIs(late.word.verdict, Verdict.UNKNOWN)
+        self.assertIs(late.outcome.verdict, Verdict.UNKNOWN)
         self.end("order_held_up")
