--- a/packages/delivery/src/fuchsiahatch_delivery/bindings.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/bindings.py
@@ -1,4 +1,4 @@
-"""Binding a key to homes in the key-value service, for callers without a ticket."""
+"""Bindings of keys to homes in the key-value service, for callers without a ticket."""
 
 import dataclasses
 import hashlib
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CreateReply:
-    """What came of a create; None when its answer was lost."""
+    """Whether a create took effect; None when its answer was lost."""
 
     created: bool | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadReply:
-    """What a read gave; None when the service gave no answer."""
+    """Value of a key, empty if absent; None when the service gave no answer."""
 
     value: bytes | None
 
@@ -53,13 +53,13 @@
 
 
 def bind(team: str, key: str, ticket: Ticket) -> Binding:
-    """Bind a key to a ticket's homes, or learn which it is bound to.
+    """Bind a key to a ticket's homes, or return those it is bound to already.
 
     Parameters
     ----------
     team, key : str
     ticket : Ticket
-        Made now; taken if the key is not bound yet.
+        A new ticket, used if the key isn't bound yet.
 
     Yields
     ------
@@ -68,40 +68,40 @@
     Returns
     -------
     Ticket
-        The same for every try of the key.
+        The same for every request with the key.
 
     Raises
     ------
     RefusedError
-        When the service gives no answer; this try started nothing.
+        When the service gives no answer; nothing was started.
     """
     name = binding_key(team, key)
     for _ in range(_MAX_CREATES):
-        write = yield Create(name, encode_ticket(ticket).encode())
-        if write.created:
+        create_reply = yield Create(name, encode_ticket(ticket).encode())
+        if create_reply.created:
             return ticket
-        # A create whose answer was lost may have taken effect, for this try or for
-        # another one: to go on with the own ticket could name a second home. What
-        # the service holds decides, and it binds the key to homes, not to a try.
-        found = yield Read(name)
-        if found.value:
-            return _bound(found.value, ticket)
-        if found.value is None:
+        # A create whose answer was lost may have taken effect, here or for another
+        # request with the key, so using the new ticket could name a second home.
+        # The value in the service decides: it binds the key to homes for all retries.
+        read_reply = yield Read(name)
+        if read_reply.value:
+            return _bound_ticket(read_reply.value, ticket)
+        if read_reply.value is None:
             break
     detail = "the key-value service can't bind the key now; come back, or use a ticket"
     raise RefusedError(detail, Code.SERVICE_UNAVAILABLE, RETRY_AFTER_MS)
 
 
-def _bound(value: bytes, own: Ticket) -> Ticket:
+def _bound_ticket(value: bytes, new_ticket: Ticket) -> Ticket:
     ticket = decode_ticket(value.decode("ascii", "replace"))
-    if ticket.target != own.target:
+    if ticket.target != new_ticket.target:
         detail = f"the key began with a request to {ticket.target!r}"
         raise RequestError(detail, Code.KEY_REUSED)
     return ticket
 
 
 class SharedLease:
-    """Says when the lease that new bindings share must be granted anew.
+    """Tracks the lease that new bindings share, and when it must be replaced.
 
     Parameters
     ----------
@@ -118,20 +118,20 @@
     .. versionadded:: 0.1
     """
 
-    __slots__ = ("_asked_ms", "_lease_id", "_spare_ms")
+    __slots__ = ("_lease_id", "_requested_ms", "_spare_ms")
 
     def __init__(self, ttl_ms: int, life_ms: int) -> None:
         self._spare_ms = ttl_ms - life_ms
         self._lease_id: int | None = None
-        self._asked_ms = 0
+        self._requested_ms = 0
 
     def current(self, now_ms: int) -> int | None:
         """Return the lease to use, or None when a new one is needed."""
-        if self._lease_id is None or now_ms - self._asked_ms >= self._spare_ms:
+        if self._lease_id is None or now_ms - self._requested_ms >= self._spare_ms:
             return None
         return self._lease_id
 
-    def granted(self, lease_id: int, asked_ms: int) -> None:
-        """Take a new lease; its life counts from when it was asked for."""
+    def granted(self, lease_id: int, requested_ms: int) -> None:
+        """Store a new lease; its time to live counts from the request for it."""
         self._lease_id = lease_id
-        self._asked_ms = asked_ms
+        self._requested_ms = requested_ms
--- a/packages/delivery/src/fuchsiahatch_delivery/home_calls.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/home_calls.py
@@ -1,4 +1,4 @@
-"""What an entry's walk asks for, what comes back, and the word it ends with."""
+"""Calls of an entry to homes, their replies, and the outcome of a request."""
 
 import dataclasses
 import enum
@@ -17,9 +17,9 @@
     SERVING
         It may be given the request.
     LEAVING
-        It is leaving, or the placement records allow it no more.
+        It is leaving, or the placement records no longer allow it.
     GONE
-        It is silent for too long, replaced or off the list.
+        It has been silent for too long, was restarted or is off the host list.
     """
 
     SERVING = "serving"
@@ -28,18 +28,18 @@
 
 
 class Operation(enum.Enum):
-    """What the walk asks of a home.
+    """What an entry requests of a home.
 
     Attributes
     ----------
     RUN
-        Run the request, or hand on what its key came to.
+        Run the request, or return the answer that its key already has.
     RESOLVE
-        Say what became of the last attempt, and fence it if it hasn't run.
+        Return the verdict on the last attempt, and fence it if it hasn't run.
     FENCE
         Forbid the key, unless it has run.
     FIND
-        Hand on what the key came to, without running it.
+        Return the answer that the key already has, without running it.
     """
 
     RUN = "run"
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomeCall:
-    """One question to one home."""
+    """One operation requested of one home."""
 
     operation: Operation
     home: Home
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HopFailed:
-    """The hop to the home broke, or there was none."""
+    """The connection to the home was lost or couldn't be made."""
 
     detail: str
     first_byte_sent: bool = False
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VerdictReply:
-    """The home's word on an attempt or a key."""
+    """The home's verdict on an attempt or a key."""
 
     verdict: Verdict
 
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """The final word on a request.
+    """The final outcome of a request.
 
     Attributes
     ----------
@@ -102,7 +102,7 @@
     detail : str
     retry_after_ms : int or None
     whole_key : bool
-        Whether NOT_RUN holds for every try under the key, not for this one alone.
+        Whether NOT_RUN holds for all requests with the key, not for this one alone.
     """
 
     verdict: Verdict
--- a/packages/delivery/src/fuchsiahatch_delivery/ledger.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/ledger.py
@@ -1,4 +1,4 @@
-"""A home's ledger: what became of each key, so that none runs twice here."""
+"""A home's ledger: the state of each key, so that none runs twice here."""
 
 import collections
 import dataclasses
@@ -19,8 +19,8 @@
 from fuchsiahatch_delivery.keys import LedgerKey
 from fuchsiahatch_delivery.verdicts import Verdict
 
-#: What a row costs an agent beside its answer; resident memory grew by 2,273 bytes
-#: a key with a short one.
+#: Memory charged for a row beside its answer; resident memory grows by 2,273 bytes
+#: for a key with a short answer.
 _ROW_BYTES = 2_048
 _MAX_FENCED_ATTEMPTS = 65_536
 
@@ -73,12 +73,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Follow:
-    """The key is queued or running: hand on the answer as it comes."""
+    """The key is queued or running: forward the answer as it arrives."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replay:
-    """The key is done: hand on the kept answer."""
+    """The key is done: return the kept answer."""
 
     answer: KeptAnswer
 
@@ -86,17 +86,17 @@
 Step = Start | Follow | Replay
 
 
-class KeyLife(t.Protocol):
-    """What may happen to a key."""
+class KeyLifecycle(t.Protocol):
+    """State machine of a key."""
 
     def dispatch(self) -> bool:
-        """Give it to the upstream, unless that is forbidden."""
+        """Give the key to the upstream, unless it is fenced or was given before."""
 
     def finish(self) -> None:
         """Note the whole answer."""
 
     def lose(self) -> None:
-        """Note that the answer is not to be had."""
+        """Note that there is no whole answer."""
 
     def withdraw(self) -> bool:
         """Take it back, unless its end is known."""
@@ -108,30 +108,30 @@
         """Return what became of the key."""
 
 
-class _Nothing:
-    """The machine's core; the row keeps the data."""
+class _NoState:
+    """Data of the state machine; it has none, as the row keeps it."""
 
 
-def _build_life() -> t.Callable[[_Nothing], KeyLife]:
-    builder = TypeMachineBuilder(KeyLife, _Nothing)
+def _build_lifecycle() -> t.Callable[[_NoState], KeyLifecycle]:
+    builder = TypeMachineBuilder(KeyLifecycle, _NoState)
     queued = builder.state("queued")
     dispatched = builder.state("dispatched")
     withdrawn = builder.state("withdrawn")
     done = builder.state("done")
     lost = builder.state("lost")
     fenced = builder.state("fenced")
-    queued.upon(KeyLife.dispatch).to(dispatched).returns(True)
-    queued.upon(KeyLife.fence).to(fenced).returns(True)
-    fenced.upon(KeyLife.fence).loop().returns(True)
-    dispatched.upon(KeyLife.finish).to(done).returns(None)
-    dispatched.upon(KeyLife.lose).to(lost).returns(None)
-    dispatched.upon(KeyLife.withdraw).to(withdrawn).returns(True)
+    queued.upon(KeyLifecycle.dispatch).to(dispatched).returns(True)
+    queued.upon(KeyLifecycle.fence).to(fenced).returns(True)
+    fenced.upon(KeyLifecycle.fence).loop().returns(True)
+    dispatched.upon(KeyLifecycle.finish).to(done).returns(None)
+    dispatched.upon(KeyLifecycle.lose).to(lost).returns(None)
+    dispatched.upon(KeyLifecycle.withdraw).to(withdrawn).returns(True)
     for state in (dispatched, done, lost, fenced):
-        state.upon(KeyLife.dispatch).loop().returns(False)
+        state.upon(KeyLifecycle.dispatch).loop().returns(False)
     for state in (queued, done, lost, fenced):
-        state.upon(KeyLife.withdraw).loop().returns(False)
+        state.upon(KeyLifecycle.withdraw).loop().returns(False)
     for state in (dispatched, done, lost):
-        state.upon(KeyLife.fence).loop().returns(False)
+        state.upon(KeyLifecycle.fence).loop().returns(False)
     verdicts = (
         (queued, Verdict.NOT_RUN),
         (dispatched, Verdict.RUNNING),
@@ -140,16 +140,16 @@
         (fenced, Verdict.NOT_RUN),
     )
     for state, verdict in verdicts:
-        state.upon(KeyLife.verdict).loop().returns(verdict)
+        state.upon(KeyLifecycle.verdict).loop().returns(verdict)
     return builder.build()
 
 
-_begin_life = _build_life()
+_new_lifecycle = _build_lifecycle()
 
 
 @dataclasses.dataclass(slots=True)
 class _Row:
-    life: KeyLife
+    lifecycle: KeyLifecycle
     fingerprint: bytes
     attempt: AttemptId | None
     settled_ms: int | None = None
@@ -162,12 +162,12 @@
 
 
 class Ledger:
-    """Remembers keys and fenced attempts for one life of a home.
+    """Keeps keys and fenced attempts for one incarnation of a home.
 
     Parameters
     ----------
     incarnation : str
-        This life of the home.
+        The incarnation of the home.
     team_bytes, total_bytes : int, optional
         Memory for one team's keys and answers, and for those of all teams.
     retention_ms : int, optional
@@ -206,15 +206,15 @@
         self._used_bytes: collections.Counter[str] = collections.Counter()
 
     def check_home(self, incarnation: str) -> None:
-        """Check that a question is meant for this life of the home.
+        """Check that a request is meant for this incarnation of the home.
 
         Raises
         ------
         RefusedError
             When it is meant for another.
         """
-        # A restarted home has forgotten what ran: a retry would look new to it, and
-        # a fence set by it would say nothing of the life before.
+        # A restarted home has lost its ledger: a retry would look new to it, and a
+        # fence that it sets would not cover what ran before the restart.
         if incarnation != self._incarnation:
             detail = "this home was restarted since the key was bound to it"
             raise RefusedError(detail, Code.WRONG_HOME, 0)
@@ -234,21 +234,21 @@
         """
         self._expire(now_ms)
         if order.attempt in self._fenced_attempts:
-            # An order that was held up on its way comes after its entry was told
-            # NOT_RUN; to run it now would run a request that was said not to be.
+            # A delayed order arrives after its attempt was reported as NOT_RUN;
+            # running it now would contradict that verdict.
             raise RefusedError("this attempt was resolved as not run", Code.NOT_RUN, 0)
         row = self._rows.get(order.key)
         if row is not None:
             return self._step(row, order.fingerprint)
         if now_ms - order.issued_ms >= self._retention_ms:
-            # A retry that was held up for longer than keys are kept finds no row
-            # and looks new; to run it could be the second run. The ticket was made
-            # before any row, so a row can only be gone when the ticket is as old.
+            # A retry that is delayed for longer than keys are kept finds no row and
+            # looks new; running it could be the second run. The ticket is older than
+            # any row of the key, so a row can have expired only if the ticket has.
             detail = "the ticket is older than this home remembers keys"
             raise AttemptError(detail, Code.TICKET_EXPIRED)
         self._reserve(order.key.team)
-        life = _begin_life(_Nothing())
-        self._rows[order.key] = _Row(life, order.fingerprint, order.attempt)
+        lifecycle = _new_lifecycle(_NoState())
+        self._rows[order.key] = _Row(lifecycle, order.fingerprint, order.attempt)
         return Start()
 
     def dispatch(self, key: LedgerKey, attempt: AttemptId) -> bool:
@@ -256,7 +256,7 @@
         row = self._rows.get(key)
         # A key that was resolved while queued may be queued anew by a later attempt:
         # the earlier one, said not to have run, must not run on the later one's row.
-        return row is not None and row.attempt == attempt and row.life.dispatch()
+        return row is not None and row.attempt == attempt and row.lifecycle.dispatch()
 
     def release(self, key: LedgerKey, attempt: AttemptId) -> None:
         """Forget a key that was refused before it was dispatched."""
@@ -267,13 +267,13 @@
     def withdraw(self, key: LedgerKey, attempt: AttemptId) -> None:
         """Forget a key whose order surely never reached the upstream."""
         row = self._rows.get(key)
-        if row is not None and row.attempt == attempt and row.life.withdraw():
+        if row is not None and row.attempt == attempt and row.lifecycle.withdraw():
             self._drop(key)
 
     def finish(self, key: LedgerKey, answer: KeptAnswer, now_ms: int) -> None:
         """Keep the whole answer of a key, if there is room for it."""
         row = self._rows[key]
-        row.life.finish()
+        row.lifecycle.finish()
         self._settle(key, row, now_ms)
         team = key.team
         if self._has_room(team, answer.size_bytes):
@@ -283,11 +283,11 @@
     def lose(self, key: LedgerKey, now_ms: int) -> None:
         """Note that a dispatched key brought no whole answer."""
         row = self._rows[key]
-        row.life.lose()
+        row.lifecycle.lose()
         self._settle(key, row, now_ms)
 
     def resolve(self, key: LedgerKey, attempt: AttemptId, now_ms: int) -> Verdict:
-        """Say what became of an attempt, and fence it when it hasn't run.
+        """Return the verdict on an attempt, and fence it when it hasn't run.
 
         Returns
         -------
@@ -298,20 +298,20 @@
         row = self._rows.get(key)
         if row is not None and not row.fenced and row.attempt != attempt:
             # Another attempt under the same key is queued or has run.
-            verdict = row.life.verdict()
+            verdict = row.lifecycle.verdict()
             return Verdict.RUNNING if verdict is Verdict.NOT_RUN else verdict
-        if row is not None and row.life.verdict() is not Verdict.NOT_RUN:
-            return row.life.verdict()
+        if row is not None and row.lifecycle.verdict() is not Verdict.NOT_RUN:
+            return row.lifecycle.verdict()
         if len(self._fenced_attempts) >= _MAX_FENCED_ATTEMPTS:
             return Verdict.UNKNOWN
         self._fenced_attempts[attempt] = now_ms
         if row is not None and not row.fenced:
-            # It is taken out of the queue: `dispatch` finds no row.
+            # This removes it from the queue, as `dispatch` then finds no row.
             self._drop(key)
         return Verdict.NOT_RUN
 
     def fence(self, key: LedgerKey, now_ms: int) -> Verdict:
-        """Forbid a key in this life of the home, unless it has been dispatched.
+        """Forbid a key in this incarnation of the home, unless it was dispatched.
 
         Returns
         -------
@@ -322,12 +322,12 @@
         row = self._rows.get(key)
         if row is None:
             self._reserve(key.team)
-            row = _Row(_begin_life(_Nothing()), b"", None)
+            row = _Row(_new_lifecycle(_NoState()), b"", None)
             self._rows[key] = row
-        if row.life.fence() and not row.fenced:
+        if row.lifecycle.fence() and not row.fenced:
             row.fenced = True
             self._settle(key, row, now_ms)
-        return row.life.verdict()
+        return row.lifecycle.verdict()
 
     def find(self, key: LedgerKey, fingerprint: bytes, now_ms: int) -> Step | None:
         """Look for a key without running it.
@@ -360,7 +360,7 @@
         if row.fingerprint != fingerprint:
             detail = "the key began with another request; use a new key for a new one"
             raise RequestError(detail, Code.KEY_REUSED)
-        verdict = row.life.verdict()
+        verdict = row.lifecycle.verdict()
         if verdict is Verdict.DONE and row.answer is not None:
             return Replay(row.answer)
         if verdict is Verdict.DONE:
@@ -373,7 +373,7 @@
 
     def _reserve(self, team: str) -> None:
         if not self._has_room(team, _ROW_BYTES):
-            # To evict a key in place of refusing would let a retry of it run again.
+            # Evicting a key instead of refusing would let a retry of it run again.
             detail = f"this home remembers no more keys of team {team!r} for now"
             raise RefusedError(detail, Code.LEDGER_FULL, RETRY_AFTER_MS)
         self._take_room(team, _ROW_BYTES)
