--- a/packages/delivery/src/fuchsiahatch_delivery/answers.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/answers.py
@@ -1,4 +1,4 @@
-"""Whole answers: counting and digesting what passes, and checking it at the end."""
+"""Integrity of answers: length and digest of the pieces, checked at the end."""
 
 import xxhash
 
@@ -30,12 +30,12 @@
         return self._digest.digest()
 
     def check(self, length_bytes: int, digest: bytes) -> None:
-        """Compare with what the sender counted.
+        """Compare with the length and digest of the sender.
 
         Raises
         ------
         AttemptError
-            When a piece was lost, doubled or changed on the way.
+            When a piece was lost, duplicated or changed on the way.
         """
         if (length_bytes, digest) != (self.length_bytes, self.digest()):
             detail = f"{self.length_bytes} bytes came of {length_bytes} that were sent"
--- a/packages/delivery/src/fuchsiahatch_delivery/intake.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/intake.py
@@ -1,4 +1,4 @@
-"""Taking in the frames of one attempt: strangers and repeats out, whole or broken."""
+"""Receiving the frames of one attempt: drops foreign and repeated frames."""
 
 import typing as t
 
@@ -16,7 +16,7 @@
     Parameters
     ----------
     attempt : AttemptId
-        The attempt whose answer is taken in.
+        The attempt whose answer is received.
 
     Notes
     -----
@@ -40,8 +40,8 @@
         AttemptError
             When frames before it are missing.
         """
-        # A late frame of another attempt would give a member somebody else's answer;
-        # a repeated one would say a sentence twice.
+        # A late frame of another attempt would give a caller another one's answer; a
+        # repeated one would duplicate a part of the answer.
         if attempt != self._attempt or sequence < self._expected:
             return False
         if sequence > self._expected:
@@ -59,7 +59,7 @@
         self._meter.add(piece)
 
     def end(self, length_bytes: int, digest: bytes) -> None:
-        """Check the end against what came.
+        """Check the length and digest at the end against the received pieces.
 
         Raises
         ------
@@ -75,7 +75,7 @@
         Raises
         ------
         AttemptError
-            When it was not: half an answer must not look whole.
+            When it was not: a truncated answer must not look whole.
         """
         if not self.ended:
             raise AttemptError("the answer stopped without its end", Code.TRUNCATED)
--- a/packages/delivery/src/fuchsiahatch_delivery/keys.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/keys.py
@@ -1,4 +1,4 @@
-"""Names of what runs at most once, and fingerprints of what was asked for."""
+"""Ledger keys of requests that run at most once, and fingerprints of requests."""
 
 import dataclasses
 import hashlib
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class LedgerKey:
-    """What a home remembers a request by; teams never share one."""
+    """Key of a request in a home's ledger; teams never share one."""
 
     team: str
     text: str
@@ -29,9 +29,10 @@
 
 
 def fingerprint_of(method: str, path: str, target: str, body: bytes) -> bytes:
-    """Digest what makes two requests the same.
+    """Return a digest that is the same for repetitions of a request.
 
-    Each part goes in behind its length, so that no two requests run together.
+    Each part is preceded by its length, so that different requests never give the
+    same input.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (method.encode(), path.encode(), target.encode(), body):
--- a/packages/delivery/src/fuchsiahatch_delivery/limits.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/limits.py
@@ -2,7 +2,7 @@
 
 
 class TokenBucket:
-    """Lets a rate through, and bursts after a quiet time.
+    """Limits a rate, with bursts after idle time.
 
     Parameters
     ----------
--- a/packages/delivery/src/fuchsiahatch_delivery/tickets.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/tickets.py
@@ -24,7 +24,7 @@
     ----------
     home : Home
     issued_ms : int
-        What the home's clock read before the ticket was made. Only the home
+        Reading of the home's clock before the ticket was made. Only the home
         compares it, with the same clock.
     """
 
@@ -34,12 +34,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """Where the keys that are sent with it may run.
+    """The homes at which keys that are sent with the ticket may run.
 
     Attributes
     ----------
     team, target : str
-        Whom and what it was made for.
+        The team and target that it was made for.
     homes : tuple of TicketHome
     """
 
--- a/packages/delivery/src/fuchsiahatch_delivery/verdicts.py
+++ b/packages/delivery/src/fuchsiahatch_delivery/verdicts.py
@@ -1,4 +1,4 @@
-"""The final words on an attempt."""
+"""Verdicts on an attempt."""
 
 import enum
 
@@ -9,7 +9,7 @@
     Attributes
     ----------
     NOT_RUN
-        No upstream was or will be given it.
+        It was not and will not be given to an upstream.
     UNKNOWN
         It may have run; it will not be run again under its key.
     DONE
