--- a/tests/delivery/sessions.py
+++ b/tests/delivery/sessions.py
@@ -1,6 +1,6 @@
 """Whole sessions of delivery on a manual clock, with fakes at the interfaces.
 
-The walks, the ledger, tickets, bindings and the intake of frames are the real ones;
+The deliveries, ledger, tickets, bindings and the intake of frames are the real ones;
 the wire, the upstream and the key-value service are fakes, in seeded order.
 """
 
@@ -135,7 +135,7 @@
         self.known_gone = True
 
     def take_question(self, incarnation, work, *arguments):
-        """Take a question, if it is meant for this life."""
+        """Handle a request, if it is meant for this incarnation."""
         try:
             self.ledger.check_home(incarnation)
         except RefusedError as fault:
@@ -240,13 +240,13 @@
 
 @dataclasses.dataclass
 class Call:
-    """One try of a caller at one entry."""
+    """One request of a caller to one entry."""
 
     entry: "FakeEntry"
     key: str
     body: bytes
     ticket: Ticket
-    walk: object = None
+    delivery: object = None
     attempt: AttemptId | None = None
     question: int = 0
     intake: Intake | None = None
@@ -256,7 +256,7 @@
 
 
 class FakeEntry:
-    """An entry that drives real walks over the fake wire."""
+    """An entry that drives real deliveries over the fake wire."""
 
     def __init__(self, session, name):
         self.session = session
@@ -279,7 +279,7 @@
         call = Call(self, key, body, ticket)
         self.calls.append(call)
         order = [one.home for one in ticket.rank(key)]
-        call.walk = deliver_keyed(order, self.standing)
+        call.delivery = deliver_keyed(order, self.standing)
         self.say(f"caller asks for {key} with {body.decode()}")
         self._step(call, None)
         return call
@@ -295,7 +295,7 @@
         if not self.alive or call.outcome is not None:
             return
         try:
-            move = call.walk.send(reply)
+            move = call.delivery.send(reply)
         except StopIteration as end:
             call.outcome = end.value
             self._say_end(call)
--- a/tests/delivery/test_answers.py
+++ b/tests/delivery/test_answers.py
@@ -18,10 +18,10 @@
         meter_of(b"the ", b"front sits north").check(sent.length_bytes, sent.digest())
 
     def test_lost_piece_is_seen(self):
-        """A brief stops in the middle of a sentence and looks complete.
+        """Guards against a truncated answer that looks complete.
 
-        The stream is cut after half of its pieces, then closed cleanly. Without
-        length and digest nothing tells the skipper that the rest is missing.
+        The stream is cut after half of its pieces, then closed cleanly. Only length
+        and digest show the caller that the rest is missing.
         """
         sent = meter_of(b"the front ", b"sits north")
         with self.assertRaises(AttemptError) as seen:
--- a/tests/delivery/test_deliveries.py
+++ b/tests/delivery/test_deliveries.py
@@ -12,68 +12,68 @@
 LOST = HopFailed("lost")
 
 
-def walk(replies, idempotent):
-    """Drive a walk over three upstreams; return its moves and its word."""
+def deliver(replies, idempotent):
+    """Drive a delivery over three upstreams; return its calls, outcome and charges."""
     hosts = iter(("engine-1", "engine-2", "engine-3"))
     spent = []
     steps = deliver_without_key(
         lambda tried: Home(next(hosts), "life"), spent.append, idempotent
     )
-    moves = [next(steps)]
+    calls = [next(steps)]
     try:
         for reply in replies:
-            moves.append(steps.send(reply))
+            calls.append(steps.send(reply))
     except StopIteration as end:
         return (
-            [f"{m.operation.value} {m.home.host[-1]}" for m in moves],
+            [f"{m.operation.value} {m.home.host[-1]}" for m in calls],
             end.value,
             spent,
         )
-    raise AssertionError(f"the walk goes on: {moves[-1]}")
+    raise AssertionError(f"the delivery goes on: {calls[-1]}")
 
 
 class TestWithoutKey(unittest.TestCase):
     def test_not_run_goes_on_whatever_it_is(self):
         for idempotent in (True, False):
-            moves, outcome, spent = walk([FULL, FULL, Answered()], idempotent)
-            self.assertEqual(moves, ["run 1", "run 2", "run 3"])
+            calls, outcome, spent = deliver([FULL, FULL, Answered()], idempotent)
+            self.assertEqual(calls, ["run 1", "run 2", "run 3"])
             self.assertIs(outcome.verdict, Verdict.DONE)
             self.assertEqual([one and one.code for one in spent], [None, 202, 202])
 
     def test_every_upstream_full_is_answered_with_when_to_come_back(self):
-        _, outcome, _ = walk([FULL, FULL, FULL], True)
+        _, outcome, _ = deliver([FULL, FULL, FULL], True)
         self.assertEqual(
             (outcome.verdict, outcome.retry_after_ms), (Verdict.NOT_RUN, 700)
         )
 
     def test_repeatable_request_goes_on_after_a_broken_hop(self):
-        moves, outcome, _ = walk([LOST, FAILED, Answered()], True)
-        self.assertEqual(moves, ["run 1", "run 2", "run 3"])
+        calls, outcome, _ = deliver([LOST, FAILED, Answered()], True)
+        self.assertEqual(calls, ["run 1", "run 2", "run 3"])
         self.assertIs(outcome.verdict, Verdict.DONE)
 
     def test_nothing_goes_on_after_a_first_byte(self):
-        """A brief begins in one wording and ends in another."""
-        moves, outcome, _ = walk([CUT], True)
-        self.assertEqual((moves, outcome.code), (["run 1"], Code.TRUNCATED))
+        """Guards against an answer joined from the parts of two runs."""
+        calls, outcome, _ = deliver([CUT], True)
+        self.assertEqual((calls, outcome.code), (["run 1"], Code.TRUNCATED))
 
     def test_hold_is_not_sent_again_after_a_failure(self):
-        """A hold without a key is booked twice.
+        """Guards against a second run of a request without a key.
 
         Its upstream took it and gave no answer; a second upstream would run it too.
         """
-        moves, outcome, _ = walk([FAILED], False)
-        self.assertEqual((moves, outcome.verdict), (["run 1"], Verdict.UNKNOWN))
+        calls, outcome, _ = deliver([FAILED], False)
+        self.assertEqual((calls, outcome.verdict), (["run 1"], Verdict.UNKNOWN))
 
     def test_hold_goes_on_after_a_broken_hop_only_when_resolved_as_not_run(self):
-        moves, outcome, _ = walk(
+        calls, outcome, _ = deliver(
             [LOST, VerdictReply(Verdict.NOT_RUN), Answered()], False
         )
-        self.assertEqual(moves, ["run 1", "resolve 1", "run 2"])
-        moves, outcome, _ = walk(
+        self.assertEqual(calls, ["run 1", "resolve 1", "run 2"])
+        calls, outcome, _ = deliver(
             [LOST, VerdictReply(Verdict.RUNNING), Answered()], False
         )
-        self.assertEqual(moves, ["run 1", "resolve 1", "find 1"])
+        self.assertEqual(calls, ["run 1", "resolve 1", "find 1"])
         self.assertIs(outcome.verdict, Verdict.DONE)
-        moves, outcome, _ = walk([LOST, LOST], False)
-        self.assertEqual(moves, ["run 1", "resolve 1"])
+        calls, outcome, _ = deliver([LOST, LOST], False)
+        self.assertEqual(calls, ["run 1", "resolve 1"])
         self.assertIs(outcome.verdict, Verdict.UNKNOWN)
--- a/tests/delivery/test_ledger.py
+++ b/tests/delivery/test_ledger.py
@@ -66,7 +66,7 @@
         self.assertIs(verdict, Verdict.RUNNING)
 
     def test_resolved_attempt_does_not_run_on_a_later_row(self):
-        """A try that was said not to be run runs on the row of a later one."""
+        """Guards against an attempt resolved as NOT_RUN running on a later row."""
         first, second = order(), order(counter=2)
         self.ledger.begin(first, 0)
         self.assertIs(self.ledger.resolve(first.key, first.attempt, 0), Verdict.NOT_RUN)
@@ -77,9 +77,9 @@
 
 class TestMemory(LedgerCase):
     def test_full_ledger_refuses_and_forgets_no_key(self):
-        """A flood of keys makes the home forget a hold, whose retry books it again.
+        """Guards against a second run of a key that was evicted.
 
-        The home's memory for the team is full; were the oldest key evicted, its
+        The home's memory for the team is full; if the oldest key were evicted, its
         retry would look new.
         """
         runs = [order(f"k{number}") for number in range(3)]
--- a/tests/delivery/test_search.py
+++ b/tests/delivery/test_search.py
@@ -11,7 +11,7 @@
 
 
 class RandomSession:
-    """Calls and faults in random order over the real decisions."""
+    """Calls and faults in random order over the real delivery code."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -90,7 +90,7 @@
         return self.session.homes[self.rng.choice(sorted(self.session.homes))]
 
     def faults(self):
-        """Return what must not be, in words."""
+        """Return descriptions of all violated guarantees."""
         return [
             *(f"{key} ran {n} times" for key, n in self.session.runs.items() if n > 1),
             *(f"{one} ran after NOT_RUN" for one in self.session.run_all_the_same),
@@ -120,10 +120,10 @@
 
 class TestSearch(unittest.TestCase):
     def test_no_key_runs_twice_or_after_not_run(self):
-        """Holds are doubled, or run after they were said not to be.
+        """Guards against keys that run twice, or after the verdict NOT_RUN.
 
-        Which order of pauses, deaths, restarts, drains and broken hops does it is
-        not known beforehand; so many random orders are tried.
+        Which order of pauses, deaths, restarts, drains and broken connections
+        causes it isn't known beforehand, so many random orders are tried.
         """
         done = 0
         for seed in range(RUNS):
--- a/tests/delivery/test_sessions.py
+++ b/tests/delivery/test_sessions.py
@@ -27,10 +27,10 @@
 
 class TestEntryGone(SessionCase):
     def test_killed_in_flight_and_caller_retries_elsewhere(self):
-        """A member's hold is confirmed twice.
+        """Guards against a second run when the entry dies with a request in flight.
 
-        The entry dies with the hold in flight; the member's phone asks another
-        entry, which knows nothing of the first try and would pick any upstream.
+        The caller retries at another entry, which has no record of the first
+        attempt and could choose any upstream.
         """
         self.first.call("k1", self.ticket)
         self.session.run(50)
@@ -43,10 +43,10 @@
         self.end("entry_killed")
 
     def test_graceful_stop_under_load(self):
-        """An entry is stopped while holds are in flight.
+        """Guards against a second run when an entry is stopped under load.
 
-        Its open requests end there; the members who come next, with the address
-        they kept, are sent to another entry, which must not run a hold anew.
+        Its open requests finish there; later callers with a kept address are sent to
+        another entry, which must not run a request again.
         """
         calls = [self.first.call(f"k{number}", self.ticket) for number in range(4)]
         self.session.run(20)
@@ -58,10 +58,10 @@
 
 class TestHomeGone(SessionCase):
     def test_killed_before_dispatch(self):
-        """A hold whose agent dies before it was given to the upstream.
+        """Guards against a second run when the agent dies before dispatch.
 
-        The agent's memory is gone, so nobody can know that the hold wasn't run:
-        the member is told so, and no other upstream is given it.
+        The agent's ledger is lost, so whether the request ran can't be known: the
+        caller receives UNKNOWN, and no other upstream is given the request.
         """
         home = self.ranked()[0]
         self.first.call("k1", self.ticket)
@@ -73,10 +73,10 @@
         self.end("agent_killed_before_dispatch", runs=0)
 
     def test_killed_after_dispatch(self):
-        """A hold is confirmed, its agent dies, and a retry books it again.
+        """Guards against a second run when the agent dies after dispatch.
 
-        The upstream ran the hold, the answer died with the agent. A retry at the
-        next upstream would be the second hold.
+        The upstream ran the request, and the answer was lost with the agent. A retry
+        at the next upstream would be the second run.
         """
         home = self.ranked()[0]
         self.first.call("k1", self.ticket)
@@ -88,10 +88,11 @@
         self.end("agent_killed_after_dispatch")
 
     def test_frozen_declared_gone_then_waking(self):
-        """An agent pauses with a hold in its queue, is given up, and wakes.
+        """Guards against a second run by an agent that resumes after a pause.
 
-        Were the hold run elsewhere after the pause, the waking agent would run its
-        own copy as well, as it doesn't know that it was given up.
+        It pauses with a request in its queue and is declared unreachable. If the
+        request ran elsewhere, the agent would run its copy as well on resuming, as
+        it doesn't know that it was declared unreachable.
         """
         home = self.ranked()[0]
         self.first.call("k1", self.ticket)
@@ -108,10 +109,10 @@
         self.end("agent_frozen")
 
     def test_dead_home_after_key_went_on(self):
-        """A hold ran at the second home, then the first home dies.
+        """Guards against UNKNOWN for a key whose answer another home still has.
 
-        The retry finds the first home dead. The second one still has the answer;
-        without asking it the member would hear that nothing is known.
+        The request ran at the second home, then the first home dies. The retry finds
+        the first home dead and has to ask the second one, too.
         """
         homes = self.ranked()
         homes[0].leaving = True
@@ -125,7 +126,7 @@
         self.end("first_home_dead_later")
 
     def test_replaced_home_is_not_asked_to_run(self):
-        """A hold ran, its agent was restarted and remembers nothing.
+        """Guards against a second run at an agent that restarted with an empty ledger.
 
         The agent answers at the same address in a new incarnation; to it the retry
         looks new.
@@ -142,11 +143,11 @@
 
 class TestLeaving(SessionCase):
     def test_host_list_lags(self):
-        """An upstream leaves, the host list says so late, and a hold arrives.
+        """Guards against a second run when the host list shows a leaving host late.
 
-        The entry still sends to the leaving home, which refuses, and goes on to the
-        next one. Then the drain is called off and the member asks again: without
-        the fence the first home would run the hold a second time.
+        The entry still sends to the leaving home, which refuses, and tries the next
+        one. Then the drain is cancelled and the caller retries: without the fence
+        the first home would run the request a second time.
         """
         homes = self.ranked()
         homes[0].leaving = True
@@ -159,10 +160,10 @@
         self.end("list_lags")
 
     def test_agent_stops_under_load(self):
-        """An upstream is stopped with holds in flight, and their callers retry.
+        """Guards against lost or repeated runs when an agent stops under load.
 
-        What it has begun it finishes and replays; what it has not goes on to the
-        next home, once.
+        It finishes and replays the requests that it has dispatched; the rest go to
+        the next home, once.
         """
         calls = [self.first.call(f"k{number}", self.ticket) for number in range(6)]
         self.session.run(8)
@@ -183,10 +184,10 @@
 
 class TestBrokenHop(SessionCase):
     def test_late_order_after_resolve(self):
-        """A member hears that a hold was not run, and later it is.
+        """Guards against a run after the verdict NOT_RUN.
 
-        The connection breaks before the order arrives. The home says NOT_RUN, the
-        entry says so too, and then the order arrives after all.
+        The connection breaks before the order arrives. The home resolves the attempt
+        as NOT_RUN, the entry reports it, and then the order arrives after all.
         """
         home = self.ranked()[0]
         home.freeze()
@@ -204,10 +205,10 @@
         self.end("late_order", runs=0)
 
     def test_hop_breaks_while_running(self):
-        """A brief is being written when the entry's connection breaks.
+        """Guards against a second run when the connection breaks during a run.
 
-        The run goes on at its home; the entry resolves it as running and hands its
-        answer on. To send it elsewhere would give a second, different brief.
+        The run continues at its home; the entry resolves it as running and forwards
+        its answer. Another upstream would give a second, different answer.
         """
         call = self.first.call("k1", self.ticket)
         self.session.run(50)
@@ -218,10 +219,10 @@
 
 class TestFrames(SessionCase):
     def test_late_crossed_and_duplicated(self):
-        """A member is given another member's answer, or a sentence twice.
+        """Guards against foreign or duplicated frames in an answer.
 
-        Frames of an earlier attempt come late on a connection that now serves
-        another one, and a frame of the own answer comes twice.
+        Frames of an earlier attempt arrive late on a connection that now serves
+        another one, and a frame of the answer itself arrives twice.
         """
         one = self.first.call("k1", self.ticket)
         two = self.first.call("k2", self.ticket)
@@ -237,10 +238,10 @@
         self.end("late_crossed_duplicated", runs=2)
 
     def test_stream_cut_after_half(self):
-        """A brief stops in the middle and looks complete.
+        """Guards against a truncated answer that looks complete.
 
         The connection is cut after half of the pieces and closed cleanly. The
-        caller must see it, and its retry must bring the same brief, whole.
+        caller must get an error, and its retry must return the same answer, whole.
         """
         call = self.first.call("k1", self.ticket)
         self.session.run(50)
@@ -256,10 +257,10 @@
 
 class TestKeys(SessionCase):
     def test_reused_with_another_body(self):
-        """A member holds 07:00 and 08:00 under one key, and is shown 07:00 twice.
+        """Guards against a replay for another request with the same key.
 
-        The replay of the first answer would look like the answer to the second
-        request.
+        A caller sends 07:00 and 08:00 under one key; the replay of the first answer
+        would look like the answer to the second request.
         """
         self.first.call("k1", self.ticket)
         self.session.run(1_000)
@@ -270,10 +271,10 @@
 
 class TestService(SessionCase):
     def test_down_for_the_whole_session(self):
-        """The key-value service is down; members still hold and cancel.
+        """Guards against keyed requests failing while the key-value service is down.
 
-        With a ticket nothing asks the service. Without one the key can't be bound,
-        and is refused before anything is started.
+        With a ticket no request needs the service. Without one the key can't be
+        bound, and the request is refused before anything is started.
         """
         service = FakeService(self.session)
         service.down = True
@@ -290,11 +291,11 @@
         return Ticket(self.ticket.team, self.ticket.target, homes)
 
     def test_answer_lost_after_create_took_effect(self):
-        """A binding is written, its answer is lost, and two entries disagree.
+        """Guards against two homes for one key after the answer to a create is lost.
 
-        Two tries of one hold reach two entries, which see different upstreams. The
-        second entry's create takes effect; the first one's answer is lost, and with
-        its own ticket it would go to another home: two holds.
+        Two requests with one key reach two entries, which see different upstreams.
+        The second entry's create takes effect; the first one's answer is lost, and
+        with its own ticket it would use another home: two runs.
         """
         service = FakeService(self.session)
         service.loses_answers = 1
@@ -309,11 +310,11 @@
 
 class TestHeldUpOrder(SessionCase):
     def test_order_held_up_for_longer_than_keys_are_kept(self):
-        """A hold is booked again by a retry that was stuck for twenty minutes.
+        """Guards against a second run by a retry that is delayed for twenty minutes.
 
-        The hold ran and its answer was kept for the retention time. A frozen entry
-        wakes later and sends its copy; to the home, which has forgotten the key by
-        then, it looks new.
+        The request ran and its answer was kept for the retention time. A frozen
+        entry resumes later and sends its retry, which looks new to the home, as the
+        key has expired by then.
         """
         self.first.call("k1", self.ticket)
         self.session.run(1_000)
