--- a/packages/membership/src/fuchsiahatch_membership/hosts.py
+++ b/packages/membership/src/fuchsiahatch_membership/hosts.py
@@ -1,4 +1,4 @@
-"""What a process knows of the other hosts: the list's word joined with their own."""
+"""State of the hosts: entries of the host list joined with the hosts' own reports."""
 
 import dataclasses
 import typing as t
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostRow:
-    """One host as the host list names it, in the words of this package.
+    """One host of the host list.
 
     Attributes
     ----------
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostReport:
-    """What a host's own process said of itself.
+    """Report of a host's process on its own state.
 
     Attributes
     ----------
@@ -43,9 +43,9 @@
     heard_ms : int
         When the report came, on this process's clock.
     stragglers : tuple of str
-        Hosts whose rank it has seen to straggle.
+        Hosts whose rank it has seen straggling.
     clock_ms : int
-        Its own clock as it reported; goes back to it in tickets.
+        Reading of its own clock at the report; returned to it in tickets.
     """
 
     host: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostView:
-    """A host with all that is known of it."""
+    """A host with its latest report and its liveness."""
 
     row: HostRow
     report: HostReport | None
@@ -70,12 +70,12 @@
 
 
 class HostTable:
-    """Joins the lagging host list with the hosts' own, fresher reports.
+    """Joins the lagging host list with the more recent reports of the hosts.
 
     Parameters
     ----------
     suspect_after_ms : int
-        Silence after which a host is taken for gone.
+        Silence after which a host is considered unreachable.
 
     Notes
     -----
@@ -90,14 +90,14 @@
         self._suspect_after_ms = suspect_after_ms
 
     def replace_rows(self, rows: t.Iterable[HostRow]) -> None:
-        """Take over a new reading of the host list."""
+        """Replace the rows with a new reading of the host list."""
         self._rows = {row.host: row for row in rows}
         self._reports = {
             host: report for host, report in self._reports.items() if host in self._rows
         }
 
     def note_report(self, report: HostReport) -> None:
-        """Take over what a host said of itself."""
+        """Store the latest report of a host."""
         self._reports[report.host] = report
 
     def forget_report(self, host: str) -> None:
--- a/tests/membership/test_heartbeats.py
+++ b/tests/membership/test_heartbeats.py
@@ -83,11 +83,11 @@
 
 
 class TestLeaving(unittest.TestCase):
-    def test_is_told_at_once(self):
-        """An operator drains an entry; the host list shows it seconds later.
+    def test_leaving_is_forwarded_at_once(self):
+        """Guards against lookups that name an entry that is leaving.
 
-        Until then callers who ask another entry's lookup are sent to the one that
-        is closing, and their first try is lost.
+        The host list shows it seconds later; until then lookup on another entry
+        would send callers to the one that is closing, and their first try is lost.
         """
         for count in (3, 7):
             with self.subTest(count=count):
@@ -109,7 +109,7 @@
 
 
 class TestLiveness(unittest.TestCase):
-    def test_all_of_todays_size_are_known_alive_even_with_loss(self):
+    def test_seven_entries_are_known_alive_despite_loss(self):
         for loss_percent in (0, 20):
             with self.subTest(loss_percent=loss_percent):
                 region = Region(7, loss_percent=loss_percent)
@@ -123,11 +123,11 @@
         most = ages_ms[len(ages_ms) * 9 // 10]
         self.assertLess(most, ENTRY_SUSPECT_AFTER_MS)
 
-    def test_a_dead_entry_is_not_kept_alive_by_hearsay(self):
-        """An entry dies while its last heartbeats still pass among the others.
+    def test_dead_entry_is_not_kept_alive_by_relayed_heartbeats(self):
+        """Guards against relayed heartbeats keeping a dead entry in the lookup.
 
-        If hearing them again counted as life, lookup would name the dead entry
-        for as long as they circle.
+        Its last heartbeats still circulate among the other entries; if receiving
+        them again counted as a sign of life, lookup would name it meanwhile.
         """
         region = Region(40)
         region.rounds(10)
@@ -141,7 +141,7 @@
         ]
         self.assertLessEqual(max(heard), died_ms)
 
-    def test_a_late_beat_of_an_earlier_life_does_not_hide_the_new_one(self):
+    def test_late_heartbeat_of_an_earlier_incarnation_is_not_reported(self):
         part = Heartbeats("entry-00", "1", random.Random(1))
         table = HostTable()
         part.handle(BeatsHeard((Beat("entry-01", "new", 3),)), 5_000)
