--- a/packages/core/src/fuchsiahatch_core/clock.py
+++ b/packages/core/src/fuchsiahatch_core/clock.py
@@ -11,10 +11,9 @@
 
     Notes
     -----
-    The plain monotonic clock stands still while a host is suspended: an entry that
-    wakes would still count as fresh, and admit work under placement records that were
-    replaced while it slept. Where the system has no such clock, the monotonic one is
-    read.
+    The plain monotonic clock stops while a host is suspended: an entry that resumes
+    would still count as fresh, and admit work under placement records that were
+    replaced meanwhile. Where the system has no such clock, the monotonic one is read.
     """
     return time.clock_gettime_ns(_BOOT_TIME)
 
@@ -43,7 +42,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told, for golden sessions and searches.
+    """A clock that moves only by `advance`, for golden sessions and searches.
 
     Notes
     -----
--- a/packages/core/src/fuchsiahatch_core/defaults.py
+++ b/packages/core/src/fuchsiahatch_core/defaults.py
@@ -6,13 +6,13 @@
 DEADLINE_MS = 30_000
 #: Longest deadline a caller may ask for.
 MAX_DEADLINE_MS = 600_000
-#: How long a caller may keep a lookup answer.
+#: How long a caller may cache a lookup answer.
 LOOKUP_KEEP_MS = 30_000
-#: When a refused caller is told to come back, when nothing better is known.
+#: Retry delay given to a refused caller when there is no better estimate.
 RETRY_AFTER_MS = 1_000
 #: How often hosts poll the host list and agents report.
 HEARTBEAT_MS = 1_000
-#: An agent or entry not heard of for this long is taken for gone.
+#: Silence after which an agent or entry is considered unreachable.
 SUSPECT_AFTER_MS = 3_000
 #: An entry admits work only within this time of a confirmed revision.
 FRESH_MS = 3_000
@@ -20,7 +20,7 @@
 KEY_PREFIX = "fuchsiahatch/"
 #: A home keeps keys and answers for this time after their last change.
 RETENTION_MS = 900_000
-#: Time from a ticket's making or a binding in which a caller may retry its key.
+#: Time after a ticket or a binding is made in which a caller may retry its key.
 RETRY_WINDOW_MS = 600_000
 #: Homes that a ticket names.
 TICKET_HOMES = 3
@@ -28,9 +28,9 @@
 TEAM_LEDGER_BYTES = 33_554_432
 #: Memory of a home for the keys and kept answers of all teams.
 LEDGER_BYTES = 67_108_864
-#: Calls to the key-value service that one entry makes in a second for bindings.
+#: Calls per second to the key-value service that one entry makes for bindings.
 BINDING_CALLS_PER_S = 10
-#: Such calls that it may make at once after a quiet time.
+#: Such calls that it may make at once after idle time.
 BINDING_CALL_BURST = 30
-#: How long a stopping process goes on telling others to use another one.
+#: How long a stopping process still answers that another one should be used.
 LEAVE_LINGER_MS = 1_500
--- a/packages/core/src/fuchsiahatch_core/identities.py
+++ b/packages/core/src/fuchsiahatch_core/identities.py
@@ -8,11 +8,11 @@
 
 
 def new_incarnation() -> str:
-    """Return a name for one life of a process, never used before.
+    """Return a unique name for one incarnation of a process.
 
     Notes
     -----
-    The wall-clock part only helps a reader to sort lives; nothing compares it.
+    The wall-clock part only helps a reader to sort incarnations; nothing compares it.
     """
     born_ms = time.time_ns() // 1_000_000
     return f"{born_ms:x}-{secrets.token_hex(_INCARNATION_RANDOM_BYTES)}"
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Home:
-    """One life of an agent: the only process that may run the keys bound to it."""
+    """One incarnation of an agent: the only process that may run keys bound to it."""
 
     host: str
     incarnation: str
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class AttemptId:
-    """One try of one request by one life of an entry."""
+    """One attempt of one request by one incarnation of an entry."""
 
     entry: str
     incarnation: str
