--- a/packages/gateway/src/fuchsiahatch_gateway/placing.py
+++ b/packages/gateway/src/fuchsiahatch_gateway/placing.py
@@ -7,7 +7,7 @@
 
 from fuchsiahatch_core.codes import Code
 from fuchsiahatch_core.exceptions import RefusedError
-from fuchsiahatch_routing.queues import FairQueue, Waiting
+from fuchsiahatch_routing.queues import FairQueue, QueuedRequest
 
 if t.TYPE_CHECKING:
     from fuchsiahatch_core.clock import Clock
@@ -193,7 +193,7 @@
         expires_ms = now_ms + int(wait_ms)
         waiter = _Waiter(asyncio.get_running_loop().create_future(), tried)
         self._waiters[number] = waiter
-        evicted = queue.push(Waiting(number, team, urgency, now_ms, expires_ms))
+        evicted = queue.push(QueuedRequest(number, team, urgency, now_ms, expires_ms))
         if evicted is not None:
             self._refuse(evicted.ticket)
         try:
--- a/tests/delivery/test_search.py
+++ b/tests/delivery/test_search.py
@@ -11,7 +11,7 @@
 
 
 class RandomSession:
-    """Calls and faults in random order over the real decisions."""
+    """Calls and faults in random order over the real delivery code."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -49,7 +49,7 @@
             self.calls.append(entry.call(self.rng.choice(KEYS), self.ticket))
 
     def break_hop(self):
-        open_calls = [one for one in self.calls if one.word is None]
+        open_calls = [one for one in self.calls if one.outcome is None]
         if open_calls:
             call = self.rng.choice(open_calls)
             call.entry.break_hop(call)
@@ -90,7 +90,7 @@
         return self.session.homes[self.rng.choice(sorted(self.session.homes))]
 
     def faults(self):
-        """Return what must not be, in words."""
+        """Return descriptions of all violated guarantees."""
         return [
             *(f"{key} ran {n} times" for key, n in self.session.runs.items() if n > 1),
             *(f"{one} ran after NOT_RUN" for one in self.session.run_all_the_same),
@@ -100,9 +100,9 @@
     def _faults_of(self, key):
         calls = [one for one in self.calls if one.key == key]
         ran = self.session.runs[f"key/{key}"]
-        words = [one.word for one in calls if one.word is not None]
-        texts = {one.text for one in calls if one.word and _is_done(one.word)}
-        if any(word.whole_key for word in words) and ran:
+        words = [one.outcome for one in calls if one.outcome is not None]
+        texts = {one.text for one in calls if one.outcome and _is_done(one.outcome)}
+        if any(outcome.whole_key for outcome in words) and ran:
             yield f"{key} was said never to run, and ran"
         if len(words) == len(calls) and all(map(_is_not_run, words)) and ran:
             yield f"every try of {key} was said not to be run, and it ran"
@@ -110,20 +110,20 @@
             yield f"{key} has {len(texts)} answers from {ran} runs"
 
 
-def _is_done(word):
-    return word.verdict is Verdict.DONE
+def _is_done(outcome):
+    return outcome.verdict is Verdict.DONE
 
 
-def _is_not_run(word):
-    return word.verdict is Verdict.NOT_RUN
+def _is_not_run(outcome):
+    return outcome.verdict is Verdict.NOT_RUN
 
 
 class TestSearch(unittest.TestCase):
     def test_no_key_runs_twice_or_after_not_run(self):
-        """Holds are doubled, or run after they were said not to be.
+        """Guards against keys that run twice, or after the verdict NOT_RUN.
 
-        Which order of pauses, deaths, restarts, drains and broken hops does it is
-        not known beforehand; so many random orders are tried.
+        Which order of pauses, deaths, restarts, drains and broken connections
+        causes it isn't known beforehand, so many random orders are tried.
         """
         done = 0
         for seed in range(RUNS):
@@ -131,5 +131,5 @@
             one.run()
             story = "\n".join(one.session.close())
             self.assertEqual(one.faults(), [], f"seed {seed}:\n{story}")
-            done += sum(_is_done(call.word) for call in one.calls if call.word)
+            done += sum(_is_done(call.outcome) for call in one.calls if call.outcome)
         self.assertGreater(done, RUNS)
