--- a/tests/gateway/test_encoded_forms.py
+++ b/tests/gateway/test_encoded_forms.py
@@ -128,7 +128,7 @@
         check_golden(__file__, "records_and_tickets", lines)
 
     def test_texts_of_errors_in_answers(self):
-        # Callers receive them; their length alone moved the times of a simulated day.
+        # Callers receive them in the bodies of answers, and may match them.
         modules = (attempts, client, delivery, placing, routes)
         lines = [text for module in modules for text in texts(module)]
         check_golden(__file__, "answer_texts", lines)
